--- /dev/null
+++ b/tests/compatibility/forms_drill.py
@@ -0,0 +1,78 @@
+"""The simulator's wire: events in, what they tell the decision module; decisions, and the actions they become."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+from wire_form_cases import Recorder, plain
+
+from petrelway.drill.__main__ import reply
+from petrelway.drill.codec import Door, WireFault
+from petrelway.interface import Decision, Verb
+from petrelway.standin.platform import SETTINGS
+
+TOPIC = "drill"
+NOW_MS = 1000.0
+TOPOLOGY = ["topology", "a", 1, "F", [["s-1", 0, 0, 2, "active", 1.5, 0.5]]]
+KNOCK = ["knock", "a", "r1", 1200.0, 0.25, 1.5, 2, "fn-1", 0, 1, 3, 512.0]
+DECISIONS = {
+    "send": Decision(Verb.SEND, 0, 0, 0, 1, 1500.0),
+    "withdraw": Decision(Verb.WITHDRAW, 0, 0, 0, 1),
+    "nack": Decision(Verb.NACK, 0, ms=250.0),
+    "break-off": Decision(Verb.BREAK_OFF, 0),
+    "order": Decision(Verb.ORDER, -1, 0, 0, 2),
+    "unload": Decision(Verb.UNLOAD, -1, 0, 0),
+    "probe": Decision(Verb.PROBE, -1, 0),
+    "tell": Decision(Verb.TELL, payload=b"\x00peer"),
+    "wake": Decision(Verb.WAKE, ms=2500.0),
+}
+
+
+class FailingDoor:
+    """A door whose decision code fails."""
+
+    def event(self, now: float, item: list) -> None:
+        pass
+
+    def actions(self, now: float) -> list[list]:
+        raise ValueError("broken")
+
+
+def _door() -> Door:
+    """A door that knows executor s-1, function fn-1 and trigger r1, with a module that only listens."""
+    door = Door("a", NOW_MS, 1, SETTINGS)
+    door.front_end = Recorder(door.front_end)
+    door.event(NOW_MS, TOPOLOGY)
+    door.event(NOW_MS, KNOCK)
+    door.front_end.calls.clear()
+    return door
+
+
+def written() -> dict[str, Any]:
+    """The action of each decision, and the answers to whole batches."""
+    actions = {f"action.{name}": _door()._action(decision) for name, decision in DECISIONS.items()}
+    begin = ["begin", "a", 1, SETTINGS]
+    doors = {"b": FailingDoor()}
+    batches = {
+        "begin": [begin, TOPOLOGY, KNOCK],
+        "shutdown": [["shutdown", "a"]],
+        "fatal": [["reminder", "b"]],
+    }
+    replies = {}
+    for turn, (name, items) in enumerate(batches.items()):
+        line = json.dumps({"wallS": 1.0 + turn, "turn": turn, "items": items})
+        replies[f"batch.{name}"] = [line, reply(doors, line)]
+    return {**actions, **replies}
+
+
+def decode(name: str, text: Any) -> Any:
+    """What an event tells the module, or the fault that it is; None for what is not read."""
+    if not name.startswith("event"):
+        return None
+    door = _door()
+    try:
+        door.event(NOW_MS, text)
+    except WireFault as fault:
+        return str(fault)
+    return plain(door.front_end.calls)
