--- /dev/null
+++ b/tests/compatibility/forms_policy_page.py
@@ -0,0 +1,111 @@
+"""What one member says of its terms: the policy page, an operator's wish and its progress, two documents."""
+
+from __future__ import annotations
+
+import json
+import random
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+from doubles import Log
+from forms_common import read_form
+from forms_members_page import SEED, Sockets
+
+from petrelway.console import pages
+from petrelway.daemon.shedding import Step
+from petrelway.fleet.members import Whole
+from petrelway.fleet.service import FleetService, Listed
+from petrelway.fleet.words import State
+from petrelway.policy.adopter import Serving, Terms
+from petrelway.policy.document import canonical, check, differences, digest
+from petrelway.policy.keepers import Role
+from petrelway.policy.service import PolicyService
+from petrelway.policy.store import Store
+from petrelway.policy.words import Kept, Propose
+from petrelway.settings.front import Fleet, FrontEndPlace
+
+TOPIC = "policy_page"
+TURNS, TURN_S = 100, 0.1
+
+
+class PolicyMember:
+    """A fleet of one, which keeps the history itself."""
+
+    def __init__(self, folder: Path) -> None:
+        self.reactor, log = Sockets(), Log()
+        self.reactor.advance(1000.0)
+        me = Listed("a", "10.0.0.1", 7946)
+        fleet = FleetService(self.reactor, me, "f", [], SEED, random.Random(1), log, None)
+        fleet.startService()
+        own = document("terms")
+        may_vote(folder / "kept")
+        self.policy = PolicyService(
+            self.reactor, fleet, ["a"], str(folder / "kept"), Terms(0, digest(own), own), own,
+            lambda text: (("made", text), False), lambda terms: None, log,
+        )  # fmt: skip
+        self.policy.startService()
+        self.turn()
+
+    def turn(self) -> None:
+        """Let what is under way come to its end."""
+        for _ in range(TURNS):
+            self.reactor.advance(TURN_S)
+
+    def wish(self, name: str) -> Any:
+        """The answer to a wish that is checked in, as an operator's JSON; its documents are the two terms."""
+        documents = {"document": document("changed_terms"), "base_document": document("terms")}
+        wish = msgspec.json.decode(json.dumps({**read_form(TOPIC, name), **documents}), type=Propose)
+        return json.loads(msgspec.json.encode(self.policy.wished(wish)))
+
+    def page(self, **asked: str) -> Any:
+        """The policy page."""
+        steps = pages.policy(SimpleNamespace(policy=self.policy), asked)
+        while True:
+            try:
+                next(steps)
+            except StopIteration as end:
+                return end.value
+
+
+def may_vote(file: Path) -> None:
+    """A keeper's file that lets it vote at once: a new one would have to ask other keepers first."""
+    store = Store(str(file), "f", "a")
+    store.keep(Kept(False), 0)
+    store.close()
+
+
+def document(name: str) -> str:
+    """The terms that are checked in under this name, as a canonical document."""
+    alone = {"front_end": FrontEndPlace(name="-", hall="-"), "fleet": Fleet(halls=["-"])}
+    return canonical(check(name, read_form(TOPIC, name), alone))
+
+
+def policy_answers(folder: Path) -> dict[str, Any]:
+    """All that is said while a change is wished for and adopted and another one is refused."""
+    member = PolicyMember(folder)
+    found = {"before": member.page(), "wished": member.wish("wish")}
+    member.turn()
+    found["adopted"] = member.wish("wish")
+    member.wish("stale_wish")
+    member.turn()
+    found["refused"] = member.wish("stale_wish")
+    found["after"] = member.page(history="1", document="1")
+    return found
+
+
+def document_differences() -> list[dict[str, str]]:
+    """As `petrelway policy plan --json` and `diff --json` print them."""
+    return [d._asdict() for d in differences(document("terms"), document("changed_terms"))]
+
+
+def state_words() -> dict[str, list[str]]:
+    """The words for states that pages tell, each in the form in which they tell it."""
+    return {
+        "a member's state": [state.name.lower() for state in State],
+        "the fleet's view": [whole.value for whole in Whole],
+        "what a daemon gives up": [step.name.lower().replace("_", " ") for step in Step],
+        "how terms hold": [serving.value for serving in Serving],
+        "a keeper's role": [role.value for role in Role],
+    }
