--- a/tests/compatibility/forms_policy_page.py
+++ b/tests/compatibility/forms_policy_change.py
@@ -26,7 +26,7 @@
 from petrelway.policy.words import Kept, Propose
 from petrelway.settings.front import Fleet, FrontEndPlace
 
-TOPIC = "policy_page"
+TOPIC = "policy_change"
 TURNS, TURN_S = 100, 0.1
 
 
--- a/tests/compatibility/test_compat_policy_page.py
+++ b/tests/compatibility/test_compat_policy_change.py
@@ -2,7 +2,7 @@
 
 import pytest
 from forms_common import outline_lines, read_form
-from forms_policy_page import TOPIC, document_differences, policy_answers, state_words
+from forms_policy_change import TOPIC, document_differences, policy_answers, state_words
 
 
 @pytest.fixture(scope="module")
--- a/tests/compatibility/write_policy_page.py
+++ b/tests/compatibility/write_policy_change.py
@@ -1,4 +1,4 @@
-"""Writes the forms of policy_page anew, from the present program."""
+"""Writes the forms of policy_change anew, from the present program."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from forms_common import outline_lines, write_form
-from forms_policy_page import TOPIC, document_differences, policy_answers, state_words
+from forms_policy_change import TOPIC, document_differences, policy_answers, state_words
 
 if __name__ == "__main__":
     with tempfile.TemporaryDirectory() as folder:
