--- /dev/null
+++ b/tests/compatibility/forms/commands/files/faulty-front.jsonnet
@@ -0,0 +1,2 @@
+// A port that lacks and a key that is unknown.
+(import 'front.jsonnet') { listen: { prot: 1 } }
--- /dev/null
+++ b/tests/compatibility/forms/commands/files/faulty-worker.jsonnet
@@ -0,0 +1,2 @@
+// A slot that is no number.
+(import 'worker.jsonnet') { calls: { slots: 'many' } }
--- /dev/null
+++ b/tests/compatibility/forms/commands/files/front.jsonnet
@@ -0,0 +1,36 @@
+// Every key of a front end's file, none with its default.
+{
+  front_end: { name: 'front-1', hall: 'a', number: 1, peers: 3, seed: 9 },
+  listen: { port: 8080, address: '127.0.0.2' },
+  roster: { port: 8081, address: '127.0.0.3' },
+  fleet: { halls: ['a', 'b'], machines: ['quad'] },
+  tariffs: [{
+    name: 'mark',
+    effect: 'stamped',
+    scope: 'hall',
+    window_ms: 4000,
+    quoted_ms: 2000,
+    outer_ms: 6000,
+    worth: 2,
+    late_share: 0.25,
+  }],
+  customers: [{ name: 'north', portion: 0.5, rate: 60 }],
+  functions: [{ name: 'calibrate', memory_mb: 600, lanes: 4, load_ms: 700 }],
+  permits: { transmissions: 5, second_copies: false, withdraw: false, longest_retry_ms: 500 },
+  keeping: { answers_miss: true, orders: false, least_keep_ms: 9000, order_timeout_ms: 8000, idle_price: 0.5 },
+  cold: { multiple: 4, span_ms: 1500, start_share: 0.2, warm_ms: 15000 },
+  ration: { window_ms: 100, free: 3, share: 0.5 },
+  log: { level: 'warning', form: 'console', file: 'front.log' },
+  console: { port: 8090, address: '127.0.0.4', token_file: 'token' },
+  guard: { lag_ms: 50, open: 4000, buffered_mb: 32, connections: 2000, background_share: 0.2 },
+  peers: {
+    fleet: 'platform',
+    port: 7000,
+    address: '127.0.0.5',
+    members: [
+      { name: 'front-2', address: '127.0.0.6', port: 7001 },
+      { name: 'front-3', address: '127.0.0.7', port: 7002 },
+    ],
+  },
+  policy: { keepers: ['front-1', 'front-2', 'front-3'], file: 'history' },
+}
--- /dev/null
+++ b/tests/compatibility/forms/commands/files/package/model.py
@@ -0,0 +1,2 @@
+def run(body, call):
+    return body
