--- a/petrelway/emulator/clients.py
+++ b/petrelway/emulator/clients.py
@@ -95,7 +95,7 @@
             taken=True,
             ms=round(c.now() - self.asked_ms, 3),
             x=answer.executor,
-            w=answer.warmth.name.lower(),
+            w=answer.warmth.label,
         )
         c.again(self, c.manners.after_answer(answer.kind, answer.retry_ms, self.asked.tariff, self.turn))
 
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -314,7 +314,7 @@
             return
         if out.timer is not None:
             out.timer.cancel()
-        self.counts[outcome.name.lower()] += 1
+        self.counts[outcome.label] += 1
         if outcome is Outcome.FULFILLED:
             self._answer(
                 t, Answer(FULFILLED, 0.0, content_type, body, self.executors.wire[executor], Warmth(warmth))
@@ -323,7 +323,7 @@
         if self.watch is not None:
             name = self.executors.wire[executor]
             hall = self.halls.wire.get(self.front_end.executors[executor].listing.hall, "")
-            self.watch.ended(now, serial, name, hall, outcome.name.lower(), Warmth(warmth).name.lower())
+            self.watch.ended(now, serial, name, hall, outcome.label, Warmth(warmth).label)
         self.front_end.transmission_ended(
             now, index, number, outcome, now - out.sent_ms, t.answer is None, Warmth(warmth)
         )
@@ -345,7 +345,7 @@
         if timer is not None and timer.active():
             timer.cancel()
         now = self.now()
-        self.counts[f"order {outcome.name.lower()}"] += 1
+        self.counts[f"order {outcome.label}"] += 1
         self.front_end.order_answered(now, at, function, outcome, copies, now - sent_ms)
         self._soon()
 
--- a/petrelway/front/intake.py
+++ b/petrelway/front/intake.py
@@ -182,7 +182,7 @@
                 b"content-type", [(answer.content_type or "application/octet-stream").encode()]
             )
             head.setRawHeaders(b"petrelway-executor", [answer.executor.encode()])
-            head.setRawHeaders(b"petrelway-warmth", [answer.warmth.name.lower().encode()])
+            head.setRawHeaders(b"petrelway-warmth", [answer.warmth.label.encode()])
             body = answer.body
         else:
             head.setRawHeaders(b"content-type", [b"application/problem+json"])
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -47,6 +47,23 @@
     UNSENT = 7
     MISS = 8
 
+    @property
+    def label(self) -> str:
+        """Its word in counts, metrics and the console's JSON: an outside form, whatever the member is called."""
+        return OUTCOME_LABELS[self]
+
+
+OUTCOME_LABELS = {
+    Outcome.FULFILLED: "fulfilled",
+    Outcome.ERROR: "error",
+    Outcome.FULL: "full",
+    Outcome.TIMEOUT: "timeout",
+    Outcome.UNREACHABLE: "unreachable",
+    Outcome.RESET: "reset",
+    Outcome.WITHDRAWN: "withdrawn",
+    Outcome.UNSENT: "unsent",
+    Outcome.MISS: "miss",
+}
 
 NEVER_RAN = frozenset((Outcome.FULL, Outcome.UNREACHABLE, Outcome.UNSENT, Outcome.MISS))
 
@@ -60,6 +77,20 @@
     AWAITED = 3
     LOAD_FAILED = 4
 
+    @property
+    def label(self) -> str:
+        """Its word in answers' headers, records and the console's JSON: an outside form."""
+        return WARMTH_LABELS[self]
+
+
+WARMTH_LABELS = {
+    Warmth.UNTOLD: "untold",
+    Warmth.FOUND: "found",
+    Warmth.BEGAN: "began",
+    Warmth.AWAITED: "awaited",
+    Warmth.LOAD_FAILED: "load_failed",
+}
+
 
 class Verb(Enum):
     """What the host is asked to do."""
