--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,21 +1,23 @@
-"""CPU of all decisions of a trigger as the fleet grows, one front end, and what a change to them altered.
+"""CPU of all decisions of a request as the fleet grows, one front end, and what a change to them altered.
 
-200 functions, 400 triggers a second, one executor replaced a second, measured after a time to warm up. With
-`--against REV` the module of that commit runs beside, in turn, and how many triggers' first executors differ
-is printed. Not for CI.
+200 functions, 400 requests a second, one executor replaced a second, measured after a time to warm up. With
+`--against REV` that commit's own module and benchmark play the same in a process of their own, in turn, and
+how many of all decisions differ is printed; it has to be a commit that has `play`. Not for CI.
 """
 
 from __future__ import annotations
 
 import argparse
 import heapq
+import json
 import random
 import subprocess
 import sys
+import tempfile
 import time
-from types import ModuleType
+from pathlib import Path
 
-from petrelway import choice, interface
+from petrelway import choice
 from petrelway.interface import (
     ColdRule,
     Customer,
@@ -37,37 +39,16 @@
 START_MS = 1e6  # executors listed as started at 0 are warm by then
 
 
-DECISION_FILES = ("hash_ring.py", "ranking.py", "choice_state.py", "choice.py")  # each imports earlier ones
-
-
-def earlier(revision: str) -> ModuleType:
-    """The module as that commit has it, with the files that it rests on; the interface is today's."""
-    package = ModuleType("petrelway_before")
-    package.__path__ = []
-    sys.modules[package.__name__] = package
-    sys.modules[f"{package.__name__}.interface"] = interface
-    for file in DECISION_FILES:
-        shown = subprocess.run(
-            ["git", "show", f"{revision}:petrelway/{file}"], capture_output=True, text=True
-        )
-        if shown.returncode == 0:  # files that are younger than the commit are left out
-            module = ModuleType(f"{package.__name__}.{file.removesuffix('.py')}")
-            module.__package__ = package.__name__
-            sys.modules[module.__name__] = module
-            exec(compile(shown.stdout, file, "exec"), module.__dict__)
-    return sys.modules[f"{package.__name__}.choice"]
-
-
 class Drive:
     """One front end in front of executors that take a fixed time; calls of the module are timed."""
 
     def __init__(self, module, executors: int, seconds: float, seed: int = 1) -> None:
-        self.now, self.spent, self.triggers = START_MS, 0.0, 0
+        self.now, self.spent, self.requests = START_MS, 0.0, 0
         self.chance = random.Random(seed)
         self.count = executors
         self.events: list[tuple] = []
         self.order = 0
-        self.first: list[int] = []  # executor of each trigger's first transmission
+        self.first: list[int] = []  # executor of each request's first transmission
         self.sent: dict[int, int] = {}
         self.speed = [self.chance.uniform(0.7, 1.6) for _ in range(executors)]
         self.has: list[dict[int, float]] = [{} for _ in range(executors)]
@@ -90,9 +71,9 @@
         self.later(self.now, "arrive")
         self.later(self.now + 1000.0, "replace")
         self.run(START_MS + WARM_UP_MS)
-        self.spent, began = 0.0, self.triggers
+        self.spent, began = 0.0, self.requests
         self.run(START_MS + WARM_UP_MS + seconds * 1000.0)
-        self.us = self.spent / (self.triggers - began) * 1e6
+        self.us = self.spent / (self.requests - began) * 1e6
 
     def listing(self, e: int) -> Listing:
         return Listing(e, f"executor-{e}", e % 3, 0, e // 4, Stage.READY, 1.0, self.started[e])
@@ -115,8 +96,8 @@
 
     def arrive(self) -> None:
         f = self.chance.choices(range(FUNCTIONS), self.weights)[0]
-        t = self.triggers
-        self.triggers += 1
+        t = self.requests
+        self.requests += 1
         self.call("trigger_taken", self.now, t, 0, 0, f, 3000.0, 0.0, False)
         self.later(self.now + self.chance.expovariate(RATE / 1000.0), "arrive")
 
@@ -158,30 +139,74 @@
             self.sent.pop(t, None)
 
 
+def play(executors: int, seconds: float) -> tuple[float, list[list]]:
+    """CPU of a request's decisions in us, and every decision of the play in plain values."""
+    decisions: list[list] = []
+
+    class Recorded(Drive):
+        def call(self, name: str, *args):
+            found = super().call(name, *args)
+            if name == "decide" and found is not None:
+                decisions.append([found[0].value, *map(str, found[1:])])
+            return found
+
+    drive = Recorded(choice, executors, seconds)
+    return drive.us, decisions
+
+
+PLAY_OF_A_TREE = """
+import json, sys
+sys.path[:0] = [sys.argv[1], sys.argv[1] + "/benchmarks"]
+import decisions
+if not hasattr(decisions, "play"):
+    sys.exit("that commit's benchmark can not be played from outside: its decisions are of another form")
+print(json.dumps(decisions.play(int(sys.argv[2]), float(sys.argv[3]))))
+"""
+
+
+def play_of_tree(tree: str, executors: int, seconds: float) -> tuple[float, list[list]]:
+    """The same in a process of its own, by that tree's own benchmark and module."""
+    command = [sys.executable, "-c", PLAY_OF_A_TREE, tree, str(executors), str(seconds)]
+    shown = subprocess.run(command, check=True, capture_output=True, text=True)
+    us, decisions = json.loads(shown.stdout)
+    return us, decisions
+
+
+def checked_out(revision: str, folder: str) -> str:
+    """The package and its benchmarks as that commit has them, in this folder."""
+    packed = subprocess.run(
+        ["git", "archive", revision, "petrelway", "benchmarks"], check=True, capture_output=True
+    )
+    subprocess.run(["tar", "-x", "-C", folder], check=True, input=packed.stdout)
+    return folder
+
+
 def main() -> None:
+    """Print the cost for each size and, with `--against`, how many decisions differ."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--against", default="", help="a commit, HEAD for the one checked out")
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--sizes", type=int, nargs="+", default=[25, 100, 400, 1600])
     asked = parser.parse_args()
-    modules = {"now": choice, **({asked.against: earlier(asked.against)} if asked.against else {})}
-    base: dict[str, float] = {}
-    for size in asked.sizes:
-        firsts = {}
-        for name, module in modules.items():
-            drive = Drive(module, size, asked.seconds)
-            us = drive.us
-            base.setdefault(name, us)
-            firsts[name] = drive.first
-            print(
-                f"{size:5} executors, {name}: {us:7.0f} us a trigger, {us / base[name]:5.2f} times that at "
-                f"{asked.sizes[0]}",
-                flush=True,
-            )
+    with tempfile.TemporaryDirectory() as folder:
+        trees = {"now": str(Path(__file__).parent.parent)}
         if asked.against:
-            one, other = firsts.values()
-            differ = sum(a != b for a, b in zip(one, other))
-            print(f"      first executors that differ: {differ} of {len(one)}")
+            trees[asked.against] = checked_out(asked.against, folder)
+        base: dict[str, float] = {}
+        for size in asked.sizes:
+            played = {}
+            for name, tree in trees.items():
+                us, played[name] = play_of_tree(tree, size, asked.seconds)
+                base.setdefault(name, us)
+                print(
+                    f"{size:5} executors, {name}: {us:7.0f} us a request, "
+                    f"{us / base[name]:5.2f} times that at {asked.sizes[0]}",
+                    flush=True,
+                )
+            if asked.against:
+                now, before = played.values()
+                differ = sum(a != b for a, b in zip(now, before, strict=False)) + abs(len(now) - len(before))
+                print(f"      decisions that differ: {differ} of {len(now)}", flush=True)
 
 
 if __name__ == "__main__":
