--- a/benchmarks/capacity_front_end_calls.py
+++ b/benchmarks/capacity_front_end_calls.py
@@ -162,15 +162,15 @@
         function = self.arrivals.randrange(FUNCTIONS)
         request = self.rig.requests
         self.rig.requests += 1
-        self.input(Work.CALLS, self.front_end.trigger_taken, request, 0, 0, function, DEADLINE_MS, 0.0, False)
+        self.input(Work.CALLS, self.front_end.request_taken, request, 0, 0, function, DEADLINE_MS, 0.0, False)
         self.later(self.rig.now_ms + self.arrivals.expovariate(self.rate / 1000.0), self.arrive)
 
     def send(self, decision: Decision) -> None:
         """The executor takes the attempt, loads the function if it never did, and answers in time."""
-        request, executor = decision.trigger, decision.executor
+        request, executor = decision.request, decision.executor
         number = self.attempts.get(request, 0)
         self.attempts[request] = number + 1
-        function = self.front_end.triggers[request].function.index
+        function = self.front_end.requests[request].function.index
         now_ms = self.rig.now_ms
         warmth = Warmth.FOUND
         loaded_ms = self.loaded.get((executor, function))
@@ -185,7 +185,7 @@
     def end(self, request: int, number: int, took_ms: float, warmth: Warmth) -> None:
         ended = self.front_end.transmission_ended
         self.input(Work.CALLS, ended, request, number, Outcome.FULFILLED, took_ms, True, warmth)
-        for released in self.rig.released.triggers:
+        for released in self.rig.released.requests:
             self.attempts.pop(released, None)
 
 
--- a/benchmarks/capacity_front_end_functions.py
+++ b/benchmarks/capacity_front_end_functions.py
@@ -152,7 +152,7 @@
     rig.pass_time(QUIET_MS)
     after = traced_bytes()
     tracemalloc.stop()
-    assert not rig.front_end.triggers
+    assert not rig.front_end.requests
     return (after - before) / RANKED_FUNCTIONS
 
 
--- a/benchmarks/capacity_front_end_rig.py
+++ b/benchmarks/capacity_front_end_rig.py
@@ -139,7 +139,7 @@
 
     def request(self, function: int) -> list[Decision]:
         """Take one request for this function, with the turn that follows."""
-        self.front_end.trigger_taken(self.now_ms, self.requests, 0, 0, function, DEADLINE_MS, 0.0, False)
+        self.front_end.request_taken(self.now_ms, self.requests, 0, 0, function, DEADLINE_MS, 0.0, False)
         self.requests += 1
         return self.turn()
 
--- a/benchmarks/capacity_ranking.py
+++ b/benchmarks/capacity_ranking.py
@@ -124,7 +124,7 @@
     """So many functions are named and called for the first time; each call is sent somewhere."""
     for function in range(first, first + count):
         front_end.function_named(START_MS, function, f"function-{function}", 300.0, 4, 0.0)
-        front_end.trigger_taken(START_MS, function, 0, 0, function, DEADLINE_MS, 0.0, False)
+        front_end.request_taken(START_MS, function, 0, 0, function, DEADLINE_MS, 0.0, False)
         front_end.limit = float("inf")  # of what may be out: nothing is answered here
         sent = 0
         while (decision := front_end.decide(START_MS)) is not None:
--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -1,8 +1,8 @@
-"""What the console costs: page times and trigger latency, closed and open, at three rates. Not for CI.
+"""What the console costs: page times and request latency, closed and open, at three rates. Not for CI.
 
 One daemon on sockets with stand-in executors that have cores to spare. Open: 50 live viewers, ten of which
 read a byte a second, and each page asked in turn all the time. Also the planner against task.cooperate: how
-late calls come that stand for triggers while heavy background work runs.
+late calls come that stand for requests while heavy background work runs.
 """
 
 from __future__ import annotations
@@ -107,7 +107,7 @@
 
         def due(at: float) -> None:
             late.append((reactor.seconds() - at) * 1e3)
-            end = time.perf_counter() + 0.001  # a trigger's work
+            end = time.perf_counter() + 0.001  # a request's work
             while time.perf_counter() < end:
                 pass
             reactor.callLater(max(0.0, at + 0.005 - reactor.seconds()), due, at + 0.005)
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -98,7 +98,7 @@
         f = self.chance.choices(range(FUNCTIONS), self.weights)[0]
         t = self.requests
         self.requests += 1
-        self.call("trigger_taken", self.now, t, 0, 0, f, 3000.0, 0.0, False)
+        self.call("request_taken", self.now, t, 0, 0, f, 3000.0, 0.0, False)
         self.later(self.now + self.chance.expovariate(RATE / 1000.0), "arrive")
 
     def replace(self) -> None:
@@ -120,9 +120,9 @@
     def pull(self) -> None:
         while (d := self.call("decide", self.now)) is not None:
             if d.verb is Verb.SEND:
-                t = self.fe.triggers[d.trigger]
-                number, f, e = self.sent.get(d.trigger, 0), t.function.index, d.executor
-                self.sent[d.trigger] = number + 1
+                t = self.fe.requests[d.request]
+                number, f, e = self.sent.get(d.request, 0), t.function.index, d.executor
+                self.sent[d.request] = number + 1
                 if not number:
                     self.first.append(e)
                 until = self.has[e].get(f)
@@ -132,10 +132,10 @@
                     warmth = Warmth.BEGAN if until is None else Warmth.AWAITED
                     until = self.has[e].setdefault(f, self.now + LOAD_MS)
                     took += until - self.now
-                self.later(self.now + took, "end", d.trigger, number, self.now, warmth)
+                self.later(self.now + took, "end", d.request, number, self.now, warmth)
             elif d.verb is Verb.WAKE:
                 self.later(max(d.ms, self.now), "wake")
-        for t in self.call("released").triggers:
+        for t in self.call("released").requests:
             self.sent.pop(t, None)
 
 
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -17,7 +17,7 @@
 from petrelway.rules.checker import figures, judge
 from petrelway.standin.memory import World
 
-#        front ends, executors, triggers/s, seconds, functions
+#        front ends, executors, requests/s, seconds, functions
 SIZES = [
     (3, 12, 120, 60, 60),
     (30, 30, 300, 60, 200),
--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -2,7 +2,7 @@
 no module.
 
 Stand-in executors with cores to spare, clients in processes of their own. Prints throughput, latency, CPU a
-trigger and the share of it in decisions, the two side by side, as ratios from one run.
+request and the share of it in decisions, the two side by side, as ratios from one run.
 """
 
 from __future__ import annotations
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -2,7 +2,7 @@
 
     watch           time to detect, to agree, false suspicions, bytes, CPU a member
     parts           service after seven in ten died: number told, parts, true number
-    uneven          the same where four fifths of the triggers enter by a fifth of the front ends
+    uneven          the same where four fifths of the requests enter by a fifth of the front ends
     rain 0 1000     drawn days of overlapping troubles, judged
     explore         every order of events of three members
 
@@ -188,7 +188,7 @@
 
 
 def served(lines: list[dict], begin_ms: float, end_ms: float) -> float:
-    """Share in time of the triggers due then."""
+    """Share in time of the requests due then."""
     due = {x["m"]: x["at"] for x in lines if x["k"] == "due" and begin_ms <= x["at"] < end_ms}
     good: dict[str, float] = {}
     for x in lines:
@@ -244,7 +244,7 @@
 
 
 def uneven_one(job: tuple[int, str, bool]) -> tuple[str, bool, float]:
-    """With `lent` each share is as large as the part of the triggers that enters there, from the start."""
+    """With `lent` each share is as large as the part of the requests that enters there, from the start."""
     seed, what, lent = job
     tree = seven_in_ten(seed, what, False)
     tree["troubles"] = [x for x in tree["troubles"] if x["kind"] != "balancer_crash"]
--- a/benchmarks/node.py
+++ b/benchmarks/node.py
@@ -1,4 +1,4 @@
-"""CPU a trigger and memory of a front end on the platform's protocol, beside the HTTP front in the same run.
+"""CPU a request and memory of a front end on the platform's protocol, beside the HTTP front in the same run.
 
 Twelve scripted executors that answer after 20 ms, sixty functions, open loop from this process. The HTTP
 front plays the like day of benchmarks/front.py. Compare the ratio: both ran on this machine, in turn.
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -50,7 +50,7 @@
 
 
 class DeepCut(FrontEnd):
-    """Late answers cut the limit for all own triggers by a factor of 0.7."""
+    """Late answers cut the limit for all own requests by a factor of 0.7."""
 
     def _cut(self, holder, busy, now):
         if holder is self and now > self.cut_ms + self.mean_ms:
@@ -61,7 +61,7 @@
 
 
 class LowFloor(FrontEnd):
-    """The limit for all own triggers may fall under two: under one, by chance."""
+    """The limit for all own requests may fall under two: under one, by chance."""
 
     def _cut(self, holder, busy, now):
         if holder is self and now > self.cut_ms + self.mean_ms:
@@ -106,7 +106,7 @@
 
 
 class ToldShare(FrontEnd):
-    """No more own triggers in flight than the told rates' share would have at the usual time."""
+    """No more own requests in flight than the told rates' share would have at the usual time."""
 
     def _place(self, t, now):
         share = 1.5 * self.gate.told_rate * self.quick_ms
@@ -130,7 +130,7 @@
 
 
 class SlowGrowth(FrontEnd):
-    """After its first cut the limit for all own triggers grows by half a trigger in the time of an answer."""
+    """After its first cut the limit for all own requests grows by half a request in the time of an answer."""
 
     part = 0.25
 
@@ -142,7 +142,7 @@
 
 
 class SlowerGrowth(SlowGrowth):
-    """By a quarter of a trigger."""
+    """By a quarter of a request."""
 
     part = 0.125
 
@@ -162,7 +162,7 @@
 
 
 class AlwaysLimit(FrontEnd):
-    """The limit for all own triggers holds in any view, not only in a sparse one."""
+    """The limit for all own requests holds in any view, not only in a sparse one."""
 
     def view(self, now):
         seen = super().view(now)
@@ -241,7 +241,7 @@
 
 
 def day(word: str, seed: int, fronts: int, executors: int) -> dict:
-    capacity = executors * 7.6 / 0.25  # cores times speed over the work of a trigger, a second
+    capacity = executors * 7.6 / 0.25  # cores times speed over the work of a request, a second
     load = {"burst": 0.75, "steady": 1.4, "busy": 0.85}[word]
     found = tree(fronts, executors, load * capacity, SECONDS, 80)
     found["store"] = {"takes": 20 * executors, "limit": 100 * executors}
@@ -263,7 +263,7 @@
 
 
 def amplified(word: str, retries: int, seed: int, fronts: int, executors: int) -> dict:
-    """What adds up: tries, transmissions and work for each trigger that a client sends for the first time."""
+    """What adds up: tries, transmissions and work for each request that a client sends for the first time."""
     load, troubles = AMPLIFIED[word]
     found = day("busy", seed, fronts, executors)
     found["traffic"].update(rate=load * executors * 7.6 / 0.25, retries=retries)
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -3,7 +3,7 @@
     calm            time from apply to adopted, words and bytes at rest; 9, 60, 300 front ends
     storm 0 1000    drawn plays of overlapping troubles, judged; a third number: how many front ends
     schedules 2     every schedule of so many troubles, on a small system, side by side
-    look            what the look at terms costs a trigger
+    look            what the look at terms costs a request
     row 100         so many changes in a row under load, nine processes, words late now and then
     kills 500       keepers killed with SIGKILL at random moments under a row of changes, on sockets
 
@@ -123,7 +123,7 @@
 
 
 def look() -> None:
-    """Against a call that does nothing, in one run; and against the CPU of a whole trigger."""
+    """Against a call that does nothing, in one run; and against the CPU of a whole request."""
     a = Adopter(0.0, "m", 7, Terms(0, digest(OWN), OWN), make)
     a.told(0.0, Told(term=1, token=7, at=1, settled=0, version=1, digest="x", keepers=(), asked_ms=0.0,
                      document='{"adoption":{"silent":"stop"}}'))  # fmt: skip
--- a/benchmarks/validate.py
+++ b/benchmarks/validate.py
@@ -14,7 +14,7 @@
 from petrelway.settings.reading import evaluate
 
 FIGURES = ("service", "found_share", "p50_ms", "p90_ms", "p99_ms", "store_fetches")
-#        front ends, executors, triggers/s, troubles of the bad day
+#        front ends, executors, requests/s, troubles of the bad day
 DAYS = [(1, 8, 70, False), (3, 12, 120, False), (3, 12, 120, True)]
 
 
--- a/petrelway/background/__init__.py
+++ b/petrelway/background/__init__.py
@@ -1,1 +1,1 @@
-"""Background work with priorities and budgets: everything that is no trigger."""
+"""Background work with priorities and budgets: everything that is no request."""
--- a/petrelway/background/running.py
+++ b/petrelway/background/running.py
@@ -73,7 +73,7 @@
         self.timer = None if math.isinf(wait) else self.clock.callLater(wait / 1e3, self._turn)
 
     def _turn(self) -> None:
-        """One slice in one turn of the reactor: triggers come between any two."""
+        """One slice in one turn of the reactor: requests come between any two."""
         self.timer = None
         now = self.now()
         chosen = self.planner.next(now)
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -16,7 +16,7 @@
 from collections import Counter, deque
 from collections.abc import Iterable
 
-from .choice_state import Deadlines, Executor, Fleet, FrontEndState, FunctionState, Transmission, Trigger
+from .choice_state import Deadlines, Executor, Fleet, FrontEndState, FunctionState, Transmission, Request
 from .forward_clock import ForwardClock
 from .hash_ring import RingWindow
 from .interface import (
@@ -46,53 +46,53 @@
 PACE_GAIN = 0.15  # weight of one answer in an executor's pace (latency over size); clipped at PACE_CLIP
 PACE_SPAN_MS = 30000.0  # and more if the present pace is old against this
 KIND_RISE, KIND_FALL = 0.003, 0.01  # an answer moves its kind's usual pace by this: a low quantile
-PACE_CLIP = 4.0  # one dear trigger counts at most as this many times the present pace
-UNHEARD_SIZE_MS = 200.0  # size of a trigger before any answer or hint
+PACE_CLIP = 4.0  # one dear request counts at most as this many times the present pace
+UNHEARD_SIZE_MS = 200.0  # size of a request before any answer or hint
 UNHEARD_LOAD_MS = 1000.0  # time of a load before one was seen
 LOAD_GAIN = 0.3  # weight of one load in its function's load time
 OVERDUE_FACTOR = 4.0  # a transmission is overdue past this times its expected time ...
 OVERDUE_SLACK_MS = 60.0  # ... plus this, or while another one could still be in time ...
 OVERDUE_LEAST = 2.0  # ... but not before this times its expected time
-SECOND_SHARE = 0.1  # further transmissions earned per trigger taken: they cannot feed an overload
+SECOND_SHARE = 0.1  # further transmissions earned per request taken: they cannot feed an overload
 SECOND_SAVED = 15.0  # most of them saved up
 FAILED = 1.7  # a failure makes a pace this many times slower
 AILING_PACE = 8.0  # times its kind's usual pace: as slow as any evidence makes an executor
-ERRORS, ERRORS_GAIN = 0.3, 0.15  # past this share of errors it gets no trigger of that tariff ...
+ERRORS, ERRORS_GAIN = 0.3, 0.15  # past this share of errors it gets no request of that tariff ...
 ERRORS_SPAN_MS = 5000.0  # ... until the share has faded
 REFUSED_MS = 100.0  # a full that took longer than this was no full queue, but a limit for this customer ...
 REFUSED_REST_MS = 8000.0  # ... which is respected for this time
-LOOK_AGAIN_MS = 40.0  # a held trigger is looked at again after this time
+LOOK_AGAIN_MS = 40.0  # a held request is looked at again after this time
 ANSWER_EARLY_MS = 6.0  # the final answer goes out this long before the client's time is up
 WINDOW_EARLY_MS = 60.0  # a stamped repeat must arrive this long before its mark is forgotten
 COLD_MARGIN = 0.6  # share of what rule 4 lets a front end send, for bursts and chance ...
-COLD_LUCK = 0.6  # ... and of that, where its own share is a fraction of one trigger
-RATE_SPAN_MS = 10000.0  # span over which fulfilled triggers are averaged for rule 4
+COLD_LUCK = 0.6  # ... and of that, where its own share is a fraction of one request
+RATE_SPAN_MS = 10000.0  # span over which fulfilled requests are averaged for rule 4
 RATION_EDGE_MS = 20.0  # both edges of the ration's window are read to our disadvantage
-ASKED_SPAN_MS = 40000.0  # span over which a function's share of the triggers is averaged
-ASKED_PRIOR = 10.0  # triggers of other functions assumed before any came
+ASKED_SPAN_MS = 40000.0  # span over which a function's share of the requests is averaged
+ASKED_PRIOR = 10.0  # requests of other functions assumed before any came
 SPREAD = 3.0  # homes of a function, times its share of the fleet
 MANY = 12  # of more homes than twice this a chance part is looked at: the least of it is as good
 LANES_FILLED = 0.5  # of a function's lanes at its homes
-OWN_VIEW = 8.0  # weight of own triggers in flight for each executor against what the shared rank presumes
-SPARSE = 0.25  # own triggers in flight for each executor: with fewer, our own counts tell nothing
+OWN_VIEW = 8.0  # weight of own requests in flight for each executor against what the shared rank presumes
+SPARSE = 0.25  # own requests in flight for each executor: with fewer, our own counts tell nothing
 ORDERS_PER_EXECUTOR = 3  # own orders under way at one executor
 LOADS_START = 1.5  # own orders under way in all, before any load was seen ...
 LOADS_SLOW = 1.6  # ... cut when a load took more than this times its usual time, or failed ...
 LOADS_CUT = 0.7  # ... by this, at most once in the time of a load ...
 LOADS_GROW = 0.25  # ... and grows by this in the time of a good one
 STOOD_MS = 30.0  # an order answered sooner found the copy there
-LIMIT_START = 12.0  # own triggers at one executor before it was seen to slow down
+LIMIT_START = 12.0  # own requests at one executor before it was seen to slow down
 LIMIT_LEAST = 2.0  # never less, or it would not be seen to recover
 CROWDED = 0.5  # answers slower than this share of the quoted time: the executor has too much in flight
 LIMIT_GROW = 2.0  # the limit grows by this in the time of an answer
 LATE_GAIN = 0.1  # weight of one answer in the share of late ones ...
-JAM = 0.2  # ... past which the limit for all own triggers is cut; it grows below half of it. Danger: a few
+JAM = 0.2  # ... past which the limit for all own requests is cut; it grows below half of it. Danger: a few
 # slow executors are no jam; and cut and growth at once, of hundreds of front ends, never ended one
-HOLD_SHARE = 0.3  # a trigger waits for a place at most this share of its quoted time ...
+HOLD_SHARE = 0.3  # a request waits for a place at most this share of its quoted time ...
 PATIENCE = 0.5  # ... and for a load or an executor at all this share of the client's, or the quoted time
 LIMIT_CUT = 0.9  # the limit is cut by this at most once in the time of an answer
 LATE = 0.8  # answers slower than this share of the quoted time: the fleet has too much to do ...
-SLOWED = 2.5  # ... if slower than this times the usual, where the work was told: else it was a dear trigger
+SLOWED = 2.5  # ... if slower than this times the usual, where the work was told: else it was a dear request
 CLOSED_SHARE = 0.25  # no overflow while more of the executors than this are crowded
 LOADS_SHARE = 0.16  # nor while more own loads than this are under way for each of them
 STALL_MS = 100.0  # a wake that comes this late: the front end itself stood still
@@ -129,10 +129,10 @@
         self.strict, self.chance, self.start = (told_rate, start), chance, start  # the least rate told lately
         self.own, self.part = own, Part(own, start)  # shares of the fleet's rations: what is told has an end
         self.seen: dict[int, tuple[float, float]] = {}  # machine kind -> decayed count of fulfilled, time
-        self.usual: dict[int, float] = {}  # what a warm one of the kind carries of our triggers, a ms
+        self.usual: dict[int, float] = {}  # what a warm one of the kind carries of our requests, a ms
         self.taken, self.ordered = deque[float](), deque[float]()
 
-    def send(self, t: Trigger, e: Executor, listed: int, now: float) -> bool:
+    def send(self, t: Request, e: Executor, listed: int, now: float) -> bool:
         if t.answered or now >= t.answer_by or t.sent >= t.permits.transmissions:  # rule 1
             return False
         if t.out and not t.permits.second_copies:
@@ -143,8 +143,8 @@
             return False
         return self._warm_enough(t, e, listed, now)
 
-    def _repeat(self, t: Trigger, at: Listing, now: float) -> bool:
-        """Rule 2: a trigger that may have run goes out again only where that does no harm."""
+    def _repeat(self, t: Request, at: Listing, now: float) -> bool:
+        """Rule 2: a request that may have run goes out again only where that does no harm."""
         tariff = t.tariff
         if tariff.effect is not Effect.STAMPED:
             return tariff.effect is Effect.HARMLESS
@@ -179,11 +179,11 @@
     def is_cold(self, e: Executor, now: float) -> bool:
         return now < e.listing.started_ms + self.cold.warm_ms
 
-    def _warm_enough(self, t: Trigger, e: Executor, listed: int, now: float) -> bool:
+    def _warm_enough(self, t: Request, e: Executor, listed: int, now: float) -> bool:
         """Rule 4: the sum over all front ends is unknown, but if each stays under the least present
         share of what it usually sends to a warm executor of the kind, so does the sum. Danger: a
-        front end whose share is a fraction of one trigger rounds up, and hundreds do so in the same
-        moment; there a trigger's luck decides as well, and the first share starts at a chance phase."""
+        front end whose share is a fraction of one request rounds up, and hundreds do so in the same
+        moment; there a request's luck decides as well, and the first share starts at a chance phase."""
         if not self.is_cold(e, now):
             return True
         cold = self.cold
@@ -213,14 +213,14 @@
         return ready and (ration.window_ms <= 0.0 or left >= 1.0)  # rule 5
 
     def forget(self, now: float) -> None:
-        """Danger: where orders are rare or not rationed, the times of all triggers would be kept for ever."""
+        """Danger: where orders are rare or not rationed, the times of all requests would be kept for ever."""
         window_ms = self.ration.window_ms
         while self.ordered and self.ordered[0] < now - window_ms - RATION_EDGE_MS:
             self.ordered.popleft()
         while self.taken and self.taken[0] < now - window_ms + RATION_EDGE_MS:
             self.taken.popleft()
 
-    def nack(self, t: Trigger) -> bool:
+    def nack(self, t: Request) -> bool:
         """Rule 2: a nack says that a repeat does no harm."""
         if not (t.ran or t.out) or t.tariff.effect is Effect.HARMLESS:
             return True
@@ -251,7 +251,7 @@
         )
         self.loads, self.loads_cut_ms = LOADS_START, -math.inf
         self.seconds = SECOND_SAVED
-        self.limit, self.cut_ms = LIMIT_START, -math.inf  # for all own triggers, in all but a rich view
+        self.limit, self.cut_ms = LIMIT_START, -math.inf  # for all own requests, in all but a rich view
         self.mean_ms = self.mean_size = self.quick_ms = UNHEARD_SIZE_MS
         heapq.heappush(self.due, (now + TIDY_MS * self.chance.random(), -1))
 
@@ -278,14 +278,14 @@
     def function_named(
         self, now: float, function: int, stable: str, memory_mb: float, lanes: int, load_ms: float
     ) -> None:
-        """Once for each index, before the function's first trigger."""
+        """Once for each index, before the function's first request."""
         now = self.clock.enter(now)
         self.functions[function] = Function(function, stable, lanes, load_ms, now)
 
-    def trigger_taken(
+    def request_taken(
         self,
         now: float,
-        trigger: int,
+        request: int,
         tariff: int,
         customer: int,
         function: int,
@@ -306,17 +306,17 @@
             quoted_by=now + terms.quoted_ms,
             patient_until=max(now + terms.quoted_ms, now + PATIENCE * remaining_ms) - LOOK_AGAIN_MS,
         )
-        t = Trigger(trigger, tariff, terms, self.permits, customer, f, size, now, deadlines, repeat, luck)
-        self.triggers[trigger], t.work_ms = t, work_ms
+        t = Request(request, tariff, terms, self.permits, customer, f, size, now, deadlines, repeat, luck)
+        self.requests[request], t.work_ms = t, work_ms
         self.gate.taken.append(now)
         self.seconds = min(SECOND_SAVED, self.seconds + SECOND_SHARE)
-        self.attention.append(trigger)
-        heapq.heappush(self.due, (t.answer_by, trigger))
+        self.attention.append(request)
+        heapq.heappush(self.due, (t.answer_by, request))
 
     def transmission_ended(
         self,
         now: float,
-        trigger: int,
+        request: int,
         number: int,
         outcome: Outcome,
         took_ms: float,
@@ -324,12 +324,12 @@
         warmth: Warmth,
     ) -> None:
         now = self.clock.enter(now)
-        t = self.triggers.get(trigger)
+        t = self.requests.get(request)
         sent = t.out.pop(number, None) if t else None
         if t is None or sent is None:
             return
         e, f = sent.executor, t.function
-        del e.out[trigger, number]
+        del e.out[request, number]
         self.out -= not sent.overdue
         e.weigh(-sent.busy)
         if not self.keeping.answers_miss:
@@ -341,10 +341,10 @@
             self._learn(now, t, sent, outcome, took_ms, warmth)
         if outcome not in (Outcome.FULFILLED, Outcome.WITHDRAWN, Outcome.MISS):
             t.tried.add(e.listing.executor)
-        self.attention.append(trigger)
+        self.attention.append(request)
 
     def _learn(
-        self, now: float, t: Trigger, sent: Transmission, outcome: Outcome, took_ms: float, warmth: Warmth
+        self, now: float, t: Request, sent: Transmission, outcome: Outcome, took_ms: float, warmth: Warmth
     ) -> None:
         e, f = sent.executor, t.function
         # danger: one that fails fast always has a free lane, and may fail one tariff only: the answers to the
@@ -378,7 +378,7 @@
 
     def _doubted(self, e: Executor, now: float) -> None:
         """Evidence against an executor, whatever the cause: silence, errors, no connection. It counts as
-        a slow answer; one piece proves little, since a load or a dear trigger looks the same."""
+        a slow answer; one piece proves little, since a load or a dear request looks the same."""
         most = FAILED * AILING_PACE * self.kind_pace.get(e.listing.machine, 1.0)
         e.pace, e.paced_ms = min(FAILED * self.pace(e, now), most), now
 
@@ -387,14 +387,14 @@
             self.stall_ms = now
         return self.stall_ms == now
 
-    def _paced(self, e: Executor, t: Trigger, took_ms: float, now: float) -> None:
+    def _paced(self, e: Executor, t: Request, took_ms: float, now: float) -> None:
         f = t.function
         pace, kind = took_ms / max(1.0, t.size), e.listing.machine
         usual = self.kind_pace.setdefault(kind, pace)
         self.kind_pace[kind] = usual * (1.0 + (KIND_RISE if pace > usual else -KIND_FALL))
         e.pace, e.paced_ms = self.pace(e, now) if e.pace else min(pace, PACE_CLIP * usual), now
         gain = PACE_GAIN if e.pace < AILING_PACE * usual else 0.5  # re-read fast
-        # danger: a short trigger's time is mostly not its work; a plain mean of ratios calls all crowded
+        # danger: a short request's time is mostly not its work; a plain mean of ratios calls all crowded
         weight = min(PACE_CLIP, t.size / self.mean_size)
         e.pace += min(1.0, gain * weight) * (min(pace, e.pace * PACE_CLIP) - e.pace)
         if e.pace * self.mean_size > CROWDED * t.tariff.quoted_ms:
@@ -453,25 +453,25 @@
         elif outcome is Outcome.FULFILLED and len(self.under_way) + 1 >= self.loads:
             self.loads += LOADS_GROW / self.loads
 
-    def client_gone(self, now: float, trigger: int) -> None:
+    def client_gone(self, now: float, request: int) -> None:
         self.clock.enter(now)
-        if t := self.triggers.get(trigger):
+        if t := self.requests.get(request):
             t.answered = True
             if t.taken_ms in self.gate.taken:  # danger: hundreds taken back at once would earn orders to load
                 self.gate.taken.remove(t.taken_ms)
-            self.attention.append(trigger)
+            self.attention.append(request)
 
-    def request_given_up(self, now: float, trigger: int) -> None:
+    def request_given_up(self, now: float, request: int) -> None:
         """Its connection ends: the one final answer is due now."""
         now = self.clock.enter(now)
-        if t := self.triggers.get(trigger):
+        if t := self.requests.get(request):
             t.answer_by = min(t.answer_by, now)
-            self.attention.append(trigger)
+            self.attention.append(request)
 
     def terms_told(
         self, now: float, tariffs: list[Tariff], customers: list[Customer], permits: Permits
     ) -> None:
-        """What is taken from now on goes by these; a trigger keeps the terms that it was taken under."""
+        """What is taken from now on goes by these; a request keeps the terms that it was taken under."""
         self.tariffs, self.permits = tariffs, permits
         self.gate.rate_told(self.clock.enter(now), sum(c.rate for c in customers) / 1000.0)
 
@@ -488,10 +488,10 @@
     def _started(self, started_ms: float) -> float:
         return self.clock.place(started_ms) if started_ms else 0.0
 
-    def may_go(self, now: float, trigger: int, number: int) -> bool:
+    def may_go(self, now: float, request: int, number: int) -> bool:
         """Whether what has waited for its connection may still go out, after all that has changed since."""
         now = self.clock.enter(now)
-        t = self.triggers.get(trigger)
+        t = self.requests.get(request)
         if t is None or number not in t.out:
             return False
         sent, t.sent = t.out.pop(number), t.sent - 1
@@ -513,9 +513,9 @@
         """The next thing to do, or None."""
         now = self.clock.enter(now)
         while self.due and self.due[0][0] <= now:
-            _, trigger = heapq.heappop(self.due)
-            if trigger >= 0:
-                self.attention.append(trigger)
+            _, request = heapq.heappop(self.due)
+            if request >= 0:
+                self.attention.append(request)
             else:
                 self._tidy(now)
                 heapq.heappush(self.due, (now + TIDY_MS, -1))
@@ -527,8 +527,8 @@
                 return decision
         while self.attention:
             self.at = self.attention[0]
-            t = self.triggers.get(self.at)
-            decision = self._for_trigger(t, now) if t is not None else None
+            t = self.requests.get(self.at)
+            decision = self._for_request(t, now) if t is not None else None
             self.at = -1
             if decision is not None:
                 return decision
@@ -539,10 +539,10 @@
         return Decision(Verb.WAKE, ms=self.clock.leave(self.wake_ms))
 
     def failed(self) -> int:
-        """After decide raised: the trigger it was at, for which no more is decided but to withdraw; or -1.
+        """After decide raised: the request it was at, for which no more is decided but to withdraw; or -1.
         Danger: it would raise again at the same one for ever, and all others would go unanswered."""
         index, self.at = self.at, -1
-        t = self.triggers.get(index)
+        t = self.requests.get(index)
         if t is None:
             return -1
         self.attention.popleft()
@@ -556,34 +556,34 @@
         free, self.free = self.free, Released([], [], [])
         return free
 
-    def _for_trigger(self, t: Trigger, now: float) -> Decision | None:
+    def _for_request(self, t: Request, now: float) -> Decision | None:
         if t.answered:
             return self._withdraw(t)
         if now >= t.answer_by or not t.out and t.sent >= t.permits.transmissions:
             return self._give_up(t)
         return self._second(t, now) if t.out else self._place(t, now)
 
-    def _withdraw(self, t: Trigger) -> Decision | None:
+    def _withdraw(self, t: Request) -> Decision | None:
         """Nobody waits for these transmissions any more: spare the executors the work."""
         t.function.held.pop(t.index, None)
         for sent in t.out.values():
             if not sent.withdrawn and t.permits.withdraw:
                 sent.withdrawn = True
                 return Decision(Verb.WITHDRAW, t.index, number=sent.number)
-        if not t.out and self.triggers.pop(t.index, None):
-            self.free.triggers.append(t.index)
+        if not t.out and self.requests.pop(t.index, None):
+            self.free.requests.append(t.index)
         return None
 
-    def _give_up(self, t: Trigger) -> Decision:
+    def _give_up(self, t: Request) -> Decision:
         """Rule 1: the one final answer, at once."""
         t.answered = True
         if self.gate.nack(t):
             return Decision(Verb.NACK, t.index, ms=min(t.permits.longest_retry_ms, self.mean_ms))
         return Decision(Verb.BREAK_OFF, t.index)
 
-    def _place(self, t: Trigger, now: float) -> Decision | None:
+    def _place(self, t: Request, now: float) -> Decision | None:
         f = t.function
-        # danger: with few own triggers at each executor no limit there can hold an overload off
+        # danger: with few own requests at each executor no limit there can hold an overload off
         shut = not t.sent and self.out >= self.limit and self.view(now) < LIMIT_LEAST
         e = None if shut else self.choose(t, now)
         spent = e is None and t.ran and t.tariff.effect is not Effect.HARMLESS
@@ -598,17 +598,17 @@
             return None
         return self._send(t, e, now)
 
-    def _hopeless(self, t: Trigger, now: float) -> bool:
+    def _hopeless(self, t: Request, now: float) -> bool:
         """No place: a client's repeat and what can't be in time give way, then what has waited too long.
-        Danger: a load that hangs, or a list that stays empty, would hold a trigger to its outer limit."""
+        Danger: a load that hangs, or a list that stays empty, would hold a request to its outer limit."""
         if not self.ready or t.function.index in self.fleet.loading:
             return now > t.patient_until
         late = now > t.quoted_by - (1.0 - HOLD_SHARE) * t.tariff.quoted_ms
         least = min(self.kind_pace.values(), default=1.0)
         return t.repeat or late or t.size * least > LATE * t.tariff.quoted_ms
 
-    def _fit(self, t: Trigger, e: Executor, now: float) -> bool:
-        """Whether the rules allow it, and nothing speaks against this executor for this trigger."""
+    def _fit(self, t: Request, e: Executor, now: float) -> bool:
+        """Whether the rules allow it, and nothing speaks against this executor for this request."""
         index, known = e.listing.executor, t.function.index in e.resume
         if e.busy >= e.limit or now < e.refused.get(t.customer, now) or index in t.tried:
             return False
@@ -624,20 +624,20 @@
         return share * math.exp((at - now) / ERRORS_SPAN_MS)
 
     def view(self, now: float) -> float:
-        """Own triggers in flight for each executor, if all were as quick as the quicker half. Danger: in a
+        """Own requests in flight for each executor, if all were as quick as the quicker half. Danger: in a
         jam what is in flight grows, the view looks rich, and the limit that would end the jam is off."""
         span = ASKED_SPAN_MS * (1.0 - math.exp((self.start - now - TIDY_MS) / ASKED_SPAN_MS))
         return self.asked / self.mean_size * self.quick_ms / span / max(1, len(self.ready))
 
     def homes(self, f: Function, now: float) -> int:
         """How many executors by the shared rank count as skilled unseen: the function's share of the fleet
-        or of its lanes, where own triggers are too few to tell. Danger: each guess too many costs a load."""
+        or of its lanes, where own requests are too few to tell. Danger: each guess too many costs a load."""
         share = (f.asked - math.sqrt(f.asked * self.mean_size)) / (self.asked + ASKED_PRIOR * self.mean_size)
         lanes = self.gate.told_rate * self.mean_ms / (LANES_FILLED * f.lanes)
         seen = 1.0 + OWN_VIEW * self.view(now)
         return max(not f.skilled, int(share * max(SPREAD * len(self.ready), lanes) / seen))
 
-    def choose(self, t: Trigger, now: float) -> Executor | None:
+    def choose(self, t: Request, now: float) -> Executor | None:
         """The design page: the skilled executor with the least weighted backlog; one is passed over only
         with no free lane by our count and past variance x mean; else overflow to an unskilled one."""
         f = t.function
@@ -670,8 +670,8 @@
                     return e
         return min(skilled, key=lambda e: (self._expected(e, t, now), self.chance.random()), default=None)
 
-    def _expected(self, e: Executor, t: Trigger, now: float) -> float:
-        """The weighted backlog with this trigger, and the load that it would wait for."""
+    def _expected(self, e: Executor, t: Request, now: float) -> float:
+        """The weighted backlog with this request, and the load that it would wait for."""
         load_ms = t.function.load_ms if t.function.index in e.orders else 0.0
         return self.backlog(e, now) + self.pace(e, now) * t.size + load_ms
 
@@ -681,10 +681,10 @@
         return usual + (e.pace - usual) * math.exp((e.paced_ms - now) / PACE_SPAN_MS) if e.pace else usual
 
     def backlog(self, e: Executor, now: float) -> float:
-        """In flight times the average time of a trigger, in ms."""
+        """In flight times the average time of a request, in ms."""
         return len(e.out) * self.pace(e, now) * self.mean_size
 
-    def _send(self, t: Trigger, e: Executor, now: float) -> Decision | None:
+    def _send(self, t: Request, e: Executor, now: float) -> Decision | None:
         f = t.function
         if not self.gate.send(t, e, len(self.ready), now):  # whatever chose it
             return None
@@ -701,7 +701,7 @@
         self.out += 1
         t.sent += 1
         if not self.keeping.answers_miss and f.index not in e.resume:
-            self._skilled(e, f, now)  # it takes the trigger and gains the skill
+            self._skilled(e, f, now)  # it takes the request and gains the skill
             e.ordered(f.index, now)
         sent.busy = f.index not in e.orders
         e.weigh(sent.busy)
@@ -711,13 +711,13 @@
         heapq.heappush(self.due, (due_ms, t.index))
         return Decision(Verb.SEND, t.index, e.listing.executor)
 
-    def _second(self, t: Trigger, now: float) -> Decision | None:
+    def _second(self, t: Request, now: float) -> Decision | None:
         """A further transmission beside one that is overdue, if the budget has one."""
         for latest in t.out.values():
             if now >= latest.due_ms and not latest.overdue:
                 latest.overdue = True
                 self.out -= 1  # written off: what hangs must not keep the rest from being sent
-                if not self._untimely(now):  # danger: it takes triggers and answers none
+                if not self._untimely(now):  # danger: it takes requests and answers none
                     self._doubted(latest.executor, now)
         if len(t.out) > 1 or not latest.overdue or self.seconds < 1.0:
             return None
@@ -744,7 +744,7 @@
                 self._unskilled(e, self.functions[index])
             while e.cold_sends and now - e.cold_sends[0] > 2 * self.gate.cold.warm_ms:
                 e.cold_sends.popleft()
-        busy = {t.function.index for t in self.triggers.values()}
+        busy = {t.function.index for t in self.requests.values()}
         busy.update(i for e in self.executors.values() for i in (*e.resume, *e.orders))
         self.wanted = {i: e for i, e in self.wanted.items() if i in busy}
         # danger: one that hangs must not stop all loads
--- a/petrelway/choice_state.py
+++ b/petrelway/choice_state.py
@@ -1,4 +1,4 @@
-"""What one front end remembers: its triggers, their transmissions, the executors and the functions.
+"""What one front end remembers: its requests, their transmissions, the executors and the functions.
 
 The types here keep facts and sums over them. They decide nothing and hold no tuned value: `choice.py` does
 both, and hands in what it computed from its tuned values (limits, times, first guesses). Only `choice.py`
@@ -24,7 +24,7 @@
 
 
 class Run(NamedTuple):
-    """Where and when a trigger may have run."""
+    """Where and when a request may have run."""
 
     hall: int
     cell: int
@@ -53,15 +53,15 @@
 
 
 class Deadlines(NamedTuple):
-    """The times that end what a trigger may wait for."""
+    """The times that end what a request may wait for."""
 
     answer_by: float  # the final answer
     quoted_by: float  # an answer within the quoted time
     patient_until: float  # a load, or an executor at all
 
 
-class Trigger:
-    """One trigger, from the taking to the end of its last transmission."""
+class Request:
+    """One request, from the taking to the end of its last transmission."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
         self.quoted_by = deadlines.quoted_by
         self.patient_until = deadlines.patient_until
         self.repeat = repeat
-        self.luck = luck  # its draw where a budget is a fraction of one trigger
+        self.luck = luck  # its draw where a budget is a fraction of one request
         self.out: dict[int, Transmission] = {}
         self.sent = 0
         self.ran: list[Run] = []  # ended transmissions that may have run
@@ -136,7 +136,7 @@
         self.fleet.list(self, listing.stage is Stage.READY)
 
     def weigh(self, more: int, limit: float = 0.0) -> None:
-        """So many more own triggers that wait for no load, and another limit if one is given."""
+        """So many more own requests that wait for no load, and another limit if one is given."""
         self.busy += more
         self.limit = limit or self.limit
         if (self.busy >= self.limit) is not self.crowded:
@@ -156,7 +156,7 @@
 
 
 class Fleet:
-    """The executors that are ready and sums over them. Danger: counted anew for each trigger, or sorted anew
+    """The executors that are ready and sums over them. Danger: counted anew for each request, or sorted anew
     for each change of the list, they cost more time than all else, and the more the greater the fleet."""
 
     def __init__(self) -> None:
@@ -203,7 +203,7 @@
         self.mean_ms = 0.0
         self.used_ms = now
         self.asked = 0.0
-        self.held: dict[int, None] = {}  # triggers that wait for a copy
+        self.held: dict[int, None] = {}  # requests that wait for a copy
         self.skilled: dict[int, Executor] = {}  # whose resumes have it
 
 
@@ -218,17 +218,17 @@
         self.warm: dict[int, int] = {}  # machine kind -> warm executors ready
         self.kind_pace: dict[int, float] = {}  # machine kind -> its usual pace
         self.functions: dict[int, FunctionState] = {}
-        self.triggers: dict[int, Trigger] = {}
+        self.requests: dict[int, Request] = {}
         self.out = 0  # transmissions that are out and not overdue
-        self.attention: deque[int] = deque()  # triggers to look at now
-        self.at = -1  # the trigger that decide is at
-        self.due: list[tuple[float, int]] = []  # when to look at a trigger; -1: tidy up
+        self.attention: deque[int] = deque()  # requests to look at now
+        self.at = -1  # the request that decide is at
+        self.due: list[tuple[float, int]] = []  # when to look at a request; -1: tidy up
         self.wake_ms = math.inf
         self.stall_ms = -math.inf  # when the last stall of this front end itself was noticed
         self.wanted: dict[int, Executor] = {}  # function -> where it was missed last
         self.under_way: dict[tuple[int, int], float] = {}  # own orders: executor, function -> overdue from
         self.late = 0.0  # share of late answers
-        self.asked = 0.0  # size of the triggers taken lately ...
+        self.asked = 0.0  # size of the requests taken lately ...
         self.asked_ms = now  # ... up to this time
         self.free = Released([], [], [])
 
--- a/petrelway/commands/looks.py
+++ b/petrelway/commands/looks.py
@@ -56,12 +56,12 @@
 
 
 @click.command()
-@click.argument("trigger")
+@click.argument("request", metavar="TRIGGER")
 @CONSOLE
 @click.option("--json", "as_json", is_flag=True)
-def explain(trigger: str, console: str, as_json: bool) -> None:
+def explain(request: str, console: str, as_json: bool) -> None:
     """What was decided for a TRIGGER (its event's id, or a part) and why. Exit 1 if it is not known."""
-    rows = ask(console, "triggers", id=trigger)["rows"]
+    rows = ask(console, "triggers", id=request)["rows"]
     if as_json:
         click.echo(json.dumps(rows))
     for row in [] if as_json else rows:
@@ -72,7 +72,7 @@
         for at, what, executor, detail in row["events"]:
             click.echo(f"  {at:8.1f} ms  {what:<10} {executor:<16} {detail}")
     if not rows:
-        click.echo(f"{trigger}: not among the last triggers that are remembered", err=True)
+        click.echo(f"{request}: not among the last triggers that are remembered", err=True)
     sys.exit(0 if rows else 1)
 
 
@@ -80,7 +80,7 @@
 @CONSOLE
 @click.option("--every", default=1.0, show_default=True, help="Seconds between two looks.")
 def top(console: str, every: float) -> None:
-    """The console's executors, functions and triggers in a terminal: sort, filter, drill down."""
+    """The console's executors, functions and requests in a terminal: sort, filter, drill down."""
     from ..console.top import Top
 
     Top(lambda page, **query: ask(console, page, **query), every).run()
--- a/petrelway/commands/policies.py
+++ b/petrelway/commands/policies.py
@@ -141,7 +141,7 @@
 @CONSOLE
 @JSON
 def show(console: str, as_json: bool) -> None:
-    """Which version holds at this member, and whether it takes triggers. Exit 1 if it does not."""
+    """Which version holds at this member, and whether it takes requests. Exit 1 if it does not."""
     found = seen(console)
     if as_json:
         click.echo(json.dumps(found))
--- a/petrelway/commands/rehearsals.py
+++ b/petrelway/commands/rehearsals.py
@@ -126,10 +126,10 @@
         click.echo(f"{folder}: {error}", err=True)
         sys.exit(2)
     if as_json:
-        click.echo(json.dumps([x._asdict() for x in (*faults, *(breaches or []))]))
+        click.echo(json.dumps([x.as_json() for x in (*faults, *(breaches or []))]))
     else:
         for f in faults:
-            click.echo(f"rule {f.rule} at {f.at_ms / 1e3:.3f} s, {f.trigger}: {f.what}")
+            click.echo(f"rule {f.rule} at {f.at_ms / 1e3:.3f} s, {f.request}: {f.what}")
         click.echo("rules: all five kept" if not faults else f"RULES BROKEN: {len(faults)}")
         for line in told_of_fleet(breaches):
             click.echo(line)
--- a/petrelway/console/pages.py
+++ b/petrelway/console/pages.py
@@ -67,8 +67,8 @@
     return {"rows": rows, "of": len(found), "from": start, "hot": hot, "search": short(wanted)}
 
 
-def triggers(d: Any, asked: dict[str, str]) -> Generator[None, None, dict[str, Any]]:
-    """The last few thousand triggers with their decisions; `?id=` finds one by the event's id."""
+def requests(d: Any, asked: dict[str, str]) -> Generator[None, None, dict[str, Any]]:
+    """The last few thousand requests with their decisions; `?id=` finds one by the event's id."""
     wanted, start = asked.get("id", ""), _from(asked)
     rows: list[dict[str, Any]] = []
     passed = 0
@@ -127,7 +127,7 @@
 
 
 def policy(d: Any, asked: dict[str, str]) -> Generator[Any, None, dict[str, Any]]:
-    """The terms: which version holds here and whether triggers are taken under it; with the history, on
+    """The terms: which version holds here and whether requests are taken under it; with the history, on
     a member that keeps nothing only as it was told last; `?history=1` asks anew, `?document=N` for one
     version's document."""
     yield
@@ -198,7 +198,7 @@
     "service": service,
     "executors": executors,
     "functions": functions,
-    "triggers": triggers,
+    "triggers": requests,
     "changes": changes,
     "members": members,
     "policy": policy,
--- a/petrelway/console/telemetry.py
+++ b/petrelway/console/telemetry.py
@@ -10,8 +10,8 @@
 from .sketch import TopNames
 
 SECONDS, MINUTES = 60, 60  # windows kept
-STORIES = 3000  # triggers whose decisions are remembered
-EVENTS_BOUND = 40  # of one trigger
+STORIES = 3000  # requests whose decisions are remembered
+EVENTS_BOUND = 40  # of one request
 NAMES_BOUND = 600  # of one dimension; more are counted together as (others)
 FUNCTIONS_ROOM = 512
 LATENCY_SLOTS, SLOT_MS = 12, 300_000.0  # histograms of five minutes each
@@ -21,7 +21,7 @@
 
 
 class Story:
-    """What happened to one trigger: times in ms since it was taken."""
+    """What happened to one request: times in ms since it was taken."""
 
     __slots__ = ("mark", "tariff", "customer", "function", "taken_ms", "events", "answer", "took_ms")
 
--- a/petrelway/daemon/shedding.py
+++ b/petrelway/daemon/shedding.py
@@ -1,13 +1,13 @@
 """What a daemon gives up, in which order, before the module is asked. Pure; nothing taken is dropped.
 
-Pressure is the worst of lag, open triggers, bytes buffered and connections, each over its bound. The order:
+Pressure is the worst of lag, open requests, bytes buffered and connections, each over its bound. The order:
 
 | step | from pressure | what is given up |
 | --- | --- | --- |
 | 0 | - | nothing |
 | 1 | 0.8 | live pages slow down |
-| 2 | 1.0 | repeats of triggers are nacked |
-| 3 | 1.2 | triggers of customers over their share are nacked |
+| 2 | 1.0 | repeats of requests are nacked |
+| 3 | 1.2 | requests of customers over their share are nacked |
 | 4 | 1.5 | of all others a part is nacked, the same part of each customer's share |
 | 5 | 2.0 | all are nacked |
 """
@@ -67,7 +67,7 @@
         self.asked = [(0.0, 0.0)] * (max(1, len(portions)) + 1)
         self.owed: list[float] = [0.0] * max(
             1, len(portions)
-        )  # parts of triggers that a customer still may send
+        )  # parts of requests that a customer still may send
         self.nacked: Counter[str] = Counter()
 
     def told(self, portions: list[float]) -> None:
@@ -121,7 +121,7 @@
         return total >= 10.0 and len(self.portions) > 1 and self._faded(customer, now) > OVER * share * total
 
     def _part(self, customer: int) -> bool:
-        """Of each trigger as much is taken as the pressure leaves; whole ones by saving up, not by luck."""
+        """Of each request as much is taken as the pressure leaves; whole ones by saving up, not by luck."""
         worst = max(self.pressures)
         self.owed[customer] += max(
             0.0, min(1.0, (FROM[Step.ALL] - worst) / (FROM[Step.ALL] - FROM[Step.FAIR_PART]))
--- a/petrelway/drill/codec.py
+++ b/petrelway/drill/codec.py
@@ -31,7 +31,7 @@
 
     def __init__(self, name: str, now: float, seed: int, told: dict) -> None:
         self.name = name
-        self.triggers, self.executors, self.functions = Ids(), Ids(), Ids()
+        self.requests, self.executors, self.functions = Ids(), Ids(), Ids()
         try:
             self.front_end = read_terms(told).front_end(now, seed)
         except TermsFault as fault:
@@ -48,10 +48,10 @@
             hinted = cost_s if cost_s and (marks or 0) & 1 else 0.0
             if not 0 <= (tariff or 0) < len(front_end.tariffs):
                 raise WireFault(f"knock names class {tariff}, which the settings do not list")
-            trigger, _ = self.triggers.enter(rid)
-            front_end.trigger_taken(
+            request, _ = self.requests.enter(rid)
+            front_end.request_taken(
                 now,
-                trigger,
+                request,
                 tariff or 0,
                 customer or 0,
                 function,
@@ -61,11 +61,11 @@
             )
         elif kind == "reportBack":
             rid, number, _, code, delay, finished, remark = (item[2:] + [None])[:7]
-            trigger, remark = self.triggers.index.get(rid), remark or 0
-            if trigger is not None:
+            request, remark = self.requests.index.get(rid), remark or 0
+            if request is not None:
                 front_end.transmission_ended(
                     now,
-                    trigger,
+                    request,
                     number,
                     _outcome(code),
                     (delay or 0.0) * 1e3,
@@ -79,9 +79,9 @@
                 listings = [self._listing(entry) for entry in item[4] or []]
                 front_end.executors_listed(now, listings, item[3] != "D")
         elif kind == "dropped":
-            trigger = self.triggers.index.get(item[2])
-            if trigger is not None:
-                front_end.client_gone(now, trigger)
+            request = self.requests.index.get(item[2])
+            if request is not None:
+                front_end.client_gone(now, request)
         elif kind == "loadDone":
             code, delay, executor, fn, copies = item[2:7]
             function = self.functions.index.get(fn)
@@ -98,22 +98,22 @@
         while (decision := self.front_end.decide(now)) is not None:
             found.append(self._action(decision))
         free = self.front_end.released()
-        self.triggers.leave(free.triggers)
+        self.requests.leave(free.requests)
         self.executors.leave(free.executors)
         self.functions.leave(free.functions)
         return found
 
     def _action(self, d: Decision) -> list:
-        trigger, executor = self.triggers.wire.get(d.trigger), self.executors.wire.get(d.executor)
+        request, executor = self.requests.wire.get(d.request), self.executors.wire.get(d.executor)
         function = self.functions.wire.get(d.function)
         if d.verb is Verb.SEND:
-            return ["forward", self.name, trigger, executor, d.ms / 1e3]
+            return ["forward", self.name, request, executor, d.ms / 1e3]
         if d.verb is Verb.WITHDRAW:
-            return ["dropAttempt", self.name, trigger, d.number]
+            return ["dropAttempt", self.name, request, d.number]
         if d.verb is Verb.NACK:
-            return ["bounce", self.name, trigger, d.ms / 1e3]
+            return ["bounce", self.name, request, d.ms / 1e3]
         if d.verb is Verb.BREAK_OFF:
-            return ["respondError", self.name, trigger]
+            return ["respondError", self.name, request]
         if d.verb is Verb.ORDER:
             return ["startCopy", self.name, executor, d.number, function]
         if d.verb is Verb.UNLOAD:
--- a/petrelway/emulator/clients.py
+++ b/petrelway/emulator/clients.py
@@ -19,7 +19,7 @@
 
 
 class Attempt:
-    """One try of one trigger at one front end."""
+    """One try of one request at one front end."""
 
     __slots__ = ("clients", "id", "asked", "first_ms", "turn", "front", "at", "left_ms", "asked_ms", "timer",
                  "over", "leave", "back")  # fmt: skip
--- a/petrelway/emulator/council.py
+++ b/petrelway/emulator/council.py
@@ -44,7 +44,7 @@
         self.party = Party(self.now(), self.name, token, council.names, names, own, make, kept)
         self.wake = None
         self.pull()
-        self._trigger()
+        self._request()
 
     def now(self) -> float:
         return self.council.sim.now_s * 1e3 * self.rate + self.ahead_ms
@@ -80,10 +80,10 @@
         if wait_ms < 1e9:
             self.wake = self.process.callLater(max(1.0, wait_ms) / 1e3, self.pull)
 
-    def _trigger(self) -> None:
-        """A client's trigger, now and then."""
+    def _request(self) -> None:
+        """A client's request, now and then."""
         self.take()
-        self.process.callLater(self.council.chance.expovariate(1.0 / self.council.every_s), self._trigger)
+        self.process.callLater(self.council.chance.expovariate(1.0 / self.council.every_s), self._request)
 
     def take(self) -> None:
         terms, _ = self.party.terms(self.now())
--- a/petrelway/emulator/fronts.py
+++ b/petrelway/emulator/fronts.py
@@ -161,7 +161,7 @@
 
 
 class Truth(tuple):
-    """A body that is no bytes: what a trigger really costs. The host asks only how long it is."""
+    """A body that is no bytes: what a request really costs. The host asks only how long it is."""
 
     def __len__(self) -> int:
         return 0
--- a/petrelway/emulator/quorum.py
+++ b/petrelway/emulator/quorum.py
@@ -4,7 +4,7 @@
 Each process is the program's own `Party`; only what lies between the processes, the disks and the moments are
 the explorer's. Time goes in steps; in a step every process that runs takes a turn, and whatever is said is
 heard at once, but for the troubles: a trouble begins at a step, and each costs one of a few. After every turn
-whoever took it is asked under which terms it would take a trigger now."""
+whoever took it is asked under which terms it would take a request now."""
 
 from __future__ import annotations
 
@@ -136,7 +136,7 @@
                 self.pull(to)
 
     def take(self, i: int) -> None:
-        """It would take a trigger now, if one came."""
+        """It would take a request now, if one came."""
         if not self.runs(i):
             return
         terms, _ = self.ones[i].terms(self.now(i))
--- a/petrelway/emulator/storm.py
+++ b/petrelway/emulator/storm.py
@@ -34,7 +34,7 @@
     ended: int
     states: Counter[str]
     back: bool  # a change went through after the last trouble
-    turned_away: float  # share of the triggers
+    turned_away: float  # share of the requests
 
 
 def document(number: int, chance: random.Random) -> str:
@@ -47,7 +47,7 @@
 
 
 class Storm:
-    """One play: triggers and changes all the while, troubles for `length_s`, then quiet."""
+    """One play: requests and changes all the while, troubles for `length_s`, then quiet."""
 
     def __init__(
         self,
--- a/petrelway/events/single.py
+++ b/petrelway/events/single.py
@@ -1,6 +1,6 @@
 """One CloudEvent over HTTP, binary or structured mode, without I/O (CloudEvents 1.0.2, HTTP binding 1.0.2).
 
-A later module takes batches and the protobuf format; this one reads what a trigger needs, and refuses the
+A later module takes batches and the protobuf format; this one reads what a request needs, and refuses the
 rest by name. Nothing here knows tariffs or functions.
 """
 
--- a/petrelway/front/collecting.py
+++ b/petrelway/front/collecting.py
@@ -6,8 +6,8 @@
 
 
 def settle() -> None:
-    """Danger: a full collection walks all that lives, and each trigger waits for it; what was loaded at the
-    start stays for good, and what triggers leave behind is mostly freed by its counts."""
+    """Danger: a full collection walks all that lives, and each request waits for it; what was loaded at the
+    start stays for good, and what requests leave behind is mostly freed by its counts."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECT)
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -1,7 +1,7 @@
 """The host: the only caller of the decision module, and the one that carries out what it decides.
 
 Inputs of one reactor turn come first, then decisions are pulled until there is none. Outside ids become
-small indices here and are given back when the module releases them. A trigger's Deferred fires once, with an
+small indices here and are given back when the module releases them. A request's Deferred fires once, with an
 `Answer`; cancelling it tells the module that the client is gone.
 """
 
@@ -31,7 +31,7 @@
 
 
 class Answer(NamedTuple):
-    """The one final answer of a trigger; `retry_ms` goes with a nack, 0 for none."""
+    """The one final answer of a request; `retry_ms` goes with a nack, 0 for none."""
 
     kind: str
     retry_ms: float = 0.0
@@ -77,7 +77,7 @@
 
 
 class PendingAnswer(defer.Deferred):
-    """The one final answer of a trigger. Cancelled, it tells that the client has gone."""
+    """The one final answer of a request. Cancelled, it tells that the client has gone."""
 
     def __init__(self, gone: Callable, given_up: Callable[[], None]) -> None:
         super().__init__(gone)
@@ -89,7 +89,7 @@
 
 
 class Taken:
-    """One trigger, from the taking until the module releases it."""
+    """One request, from the taking until the module releases it."""
 
     def __init__(
         self,
@@ -152,7 +152,7 @@
         self.tariffs, self.customers = tariffs, customers
         self.order_timeout_ms, self.connect, self.chance, self.log = order_timeout_ms, connect, chance, log
         self.meter, self.deciding_s = meter, 0.0
-        self.triggers, self.executors, self.functions = Ids(), Ids(), Ids()
+        self.requests, self.executors, self.functions = Ids(), Ids(), Ids()
         self.halls, self.machines = Ids(), Ids()
         for ids, names in ((self.halls, halls), (self.machines, machines)):
             for each in names:
@@ -162,7 +162,7 @@
         self.known: dict[int, Function] = {}
         self.orders: dict[int, tuple[int, int, float, object]] = {}  # id -> executor, function, when, timer
         self.serial = self.order_id = self.owed = 0
-        self.held_bytes = 0  # bodies of triggers without a final answer
+        self.held_bytes = 0  # bodies of requests without a final answer
         self.counts: Counter[str] = Counter()
         self.turn = self.wake = None
         self.turning = False
@@ -181,7 +181,7 @@
         self, tariffs: list[Tariff], customers: list[Customer], names: list[str], customer_names: list[str],
         permits: Permits,
     ) -> None:  # fmt: skip
-        """From now on triggers are taken under these; indices keep their names."""
+        """From now on requests are taken under these; indices keep their names."""
         self.front_end.terms_told(self.now(), tariffs, customers, permits)
         self.tariffs, self.customers = names, customer_names
 
@@ -197,7 +197,7 @@
         content_type: str,
         body: bytes,
     ) -> PendingAnswer:
-        """Take a trigger; from now on it is owed one final answer, which the Deferred carries."""
+        """Take a request; from now on it is owed one final answer, which the Deferred carries."""
         now = self.now()
         known, new = self.functions.enter(function.name)
         if new:
@@ -206,7 +206,7 @@
                 now, known, function.name, function.memory_mb, function.lanes, function.load_ms
             )
         self.serial += 1
-        index, _ = self.triggers.enter(self.serial)
+        index, _ = self.requests.enter(self.serial)
         t = Taken(
             index,
             self.serial,
@@ -228,7 +228,7 @@
         answer = t.answer
         if self.watch is not None:
             self.watch.taken(now, self.serial, mark, t.tariff, t.customer, function.name)
-        self.front_end.trigger_taken(now, index, tariff, customer, known, remaining_ms, work_ms, repeat)
+        self.front_end.request_taken(now, index, tariff, customer, known, remaining_ms, work_ms, repeat)
         self._soon()
         return answer
 
@@ -307,7 +307,7 @@
         body: bytes,
     ) -> None:
         serial, number = key
-        index = self.triggers.index.get(serial, -1)
+        index = self.requests.index.get(serial, -1)
         t = self.taken.get(index)
         out = t.out.pop(number, None) if t is not None else None
         if t is None or out is None:
@@ -332,7 +332,7 @@
     def left_ms(self, key: Key) -> float:
         """Of a transmission that waited for its connection: the client's time left, 0 if it must not go."""
         serial, number = key
-        index = self.triggers.index.get(serial, -1)
+        index = self.requests.index.get(serial, -1)
         t, now = self.taken.get(index), self.now()
         if t is None or t.answer is None or number not in t.out or now >= t.outer_ms:
             return 0.0
@@ -421,7 +421,7 @@
     def _release(self) -> None:
         """What the decisions have forgotten for good."""
         free = self.front_end.released()
-        for index in free.triggers:
+        for index in free.requests:
             t = self.taken.pop(index)
             if self.watch is not None:
                 self.watch.released(t.serial)
@@ -430,19 +430,19 @@
             self.links.pop(index).close()
         for index in free.functions:
             del self.known[index]
-        self.triggers.leave(free.triggers)
+        self.requests.leave(free.requests)
         self.executors.leave(free.executors)
         self.functions.leave(free.functions)
 
     def _decision_failed(self, error: Exception, failures: int) -> bool:
-        """Danger: one trigger that the decisions cannot digest must not take the others with it."""
+        """Danger: one request that the decisions cannot digest must not take the others with it."""
         index = self.front_end.failed()
         t = self.taken.get(index)
         self.counts["decision failed"] += 1
         self.log.error(
             "decision failed",
             error=repr(error),
-            trigger=t.mark if t else "",
+            request=t.mark if t else "",
             function=t.function.name if t else "",
             tariff=t.tariff if t else "",
             sent=t.sent if t else 0,
@@ -464,21 +464,21 @@
 
     def _carry_out(self, d: Decision, now: float) -> None:
         verb = d.verb
-        if self.watch is not None and d.trigger >= 0:
+        if self.watch is not None and d.request >= 0:
             executor, why = self.executors.wire.get(d.executor, ""), ""
             if verb is Verb.SEND:
-                why = why_sent(self.front_end, d.trigger, d.executor, self.taken[d.trigger].sent)
-            self.watch.decided(now, self.taken[d.trigger].serial, verb.value, executor, why)
+                why = why_sent(self.front_end, d.request, d.executor, self.taken[d.request].sent)
+            self.watch.decided(now, self.taken[d.request].serial, verb.value, executor, why)
         if verb is Verb.SEND:
-            self._send(self.taken[d.trigger], d.executor, d.ms, now)
+            self._send(self.taken[d.request], d.executor, d.ms, now)
         elif verb is Verb.WAKE:
             self._wake_at(d.ms, now)
         elif verb is Verb.NACK:
-            self._answer(self.taken[d.trigger], Answer(NACKED, d.ms))
+            self._answer(self.taken[d.request], Answer(NACKED, d.ms))
         elif verb is Verb.BREAK_OFF:
-            self._answer(self.taken[d.trigger], Answer(BROKEN_OFF))
+            self._answer(self.taken[d.request], Answer(BROKEN_OFF))
         elif verb is Verb.WITHDRAW:
-            self._withdraw(self.taken[d.trigger], d.number)
+            self._withdraw(self.taken[d.request], d.number)
         elif verb is Verb.ORDER:
             self._order(d.executor, d.function, d.number, now)
         elif verb is Verb.UNLOAD:
@@ -549,7 +549,7 @@
         self.wake = self.clock.callLater(max(0.0, ms - now) / 1e3, self._woken)
 
     def _answer(self, t: Taken, answer: Answer) -> None:
-        """The one place that fires a trigger's Deferred."""
+        """The one place that fires a request's Deferred."""
         deferred, t.answer = t.answer, None
         if deferred is None:
             return
@@ -570,7 +570,7 @@
     # -- the end
 
     def nothing_owed(self) -> defer.Deferred[None]:
-        """Fires when every trigger taken has its final answer; the intake must have stopped before."""
+        """Fires when every request taken has its final answer; the intake must have stopped before."""
         if not self.owed:
             return defer.succeed(None)
         self.idle = self.idle or defer.Deferred()
--- a/petrelway/front/intake.py
+++ b/petrelway/front/intake.py
@@ -1,4 +1,4 @@
-"""The intake: a trigger as an HTTP POST, its one final answer as the response. The only part clients see.
+"""The intake: a request as an HTTP POST, its one final answer as the response. The only part clients see.
 
 Fulfilled is 200 with the executor's answer; nacked 503 with Retry-After; broken off 502. The header
 `petrelway-outcome` says which, `petrelway-retry-ms` the exact retry time. What can't be taken is 400, 413,
@@ -20,7 +20,7 @@
 from .host import BROKEN_OFF, FULFILLED, NACKED, Answer
 
 BODY_BOUND = 1 << 18  # bytes of a request's body
-OPEN_BOUND = 20_000  # triggers without a final answer; past it a trigger is nacked and not taken
+OPEN_BOUND = 20_000  # requests without a final answer; past it a request is nacked and not taken
 CONNECTIONS_BOUND = 4_000  # clients' connections; past it one is closed at once
 BUSY_RETRY_MS = 250.0  # the retry time of what was not taken for want of room
 LEAVING_RETRY_MS = 1000.0  # and of what came while this front end leaves
@@ -89,9 +89,9 @@
         self.connections = 0
         self.counts: Counter[str] = Counter()
         root = resource.Resource()
-        root.putChild(b"triggers", Triggers(self))
+        root.putChild(b"triggers", Requests(self))
         root.putChild(b"ready", Ready(self))
-        # danger: a body's type is the event's; read as a form, each POST costs a tenth of a trigger more
+        # danger: a body's type is the event's; read as a form, each POST costs a tenth of a request more
         super().__init__(
             root, timeout=IDLE_S, parsePOSTFormSubmission=False, **({"reactor": reactor} if reactor else {})
         )
@@ -117,7 +117,7 @@
 
 
 class Ready(resource.Resource):
-    """GET: 200 while triggers are taken, 503 with why not. What is given up under load is no reason."""
+    """GET: 200 while requests are taken, 503 with why not. What is given up under load is no reason."""
 
     isLeaf = True
 
@@ -132,7 +132,7 @@
         return (why or "ready").encode() + b"\n"
 
 
-class Triggers(resource.Resource):
+class Requests(resource.Resource):
     isLeaf = True
 
     def __init__(self, intake: Intake) -> None:
--- a/petrelway/front/proof.py
+++ b/petrelway/front/proof.py
@@ -11,7 +11,7 @@
 
 from ..interface import Outcome
 
-Key = tuple[int, int]  # trigger's serial, number of the transmission
+Key = tuple[int, int]  # request's serial, number of the transmission
 
 
 class Ledger:
--- a/petrelway/front/reasons.py
+++ b/petrelway/front/reasons.py
@@ -5,9 +5,9 @@
 from ..choice import FrontEnd
 
 
-def why_sent(fe: FrontEnd, trigger: int, executor_index: int, number: int) -> str:
+def why_sent(fe: FrontEnd, request: int, executor_index: int, number: int) -> str:
     """The reason of a transmission that was decided this moment, in words."""
-    t, e = fe.triggers[trigger], fe.executors[executor_index]
+    t, e = fe.requests[request], fe.executors[executor_index]
     f = t.function
     beside = sum(1 for n in t.out if n != number)
     if beside:
--- a/petrelway/front/service.py
+++ b/petrelway/front/service.py
@@ -178,7 +178,7 @@
         self.fleet.door, self.fleet.versions = self.policy.door, self.policy.others_run
 
     def _made(self, document: str) -> tuple[Any, bool]:
-        """All that taking triggers under this document needs. Raises ValueError."""
+        """All that taking requests under this document needs. Raises ValueError."""
         from ..policy.document import read
         from ..settings.reading import SettingsFault
 
--- a/petrelway/front/terms.py
+++ b/petrelway/front/terms.py
@@ -12,7 +12,7 @@
 
 
 class Terms(NamedTuple):
-    """What triggers are taken under from one turn on."""
+    """What requests are taken under from one turn on."""
 
     asks: Asks
     tariffs: list[Tariff]
@@ -29,7 +29,7 @@
 
 
 def make(found: dict[str, Any], before: Terms | None = None) -> Terms:
-    """From checked sections. A name keeps its index for as long as the process lives: triggers that are open
+    """From checked sections. A name keeps its index for as long as the process lives: requests that are open
     name tariffs and customers that may be dropped. Raises ValueError past PLACES_BOUND."""
     tariffs, places = list(before.tariffs) if before else [], _places(before and before.tariff_names)
     for t in found["tariffs"]:
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -1,6 +1,6 @@
 """The host's side of the decision module: plain types and names, no policy.
 
-Times are milliseconds with fractions. Triggers, executors and functions are small whole
+Times are milliseconds with fractions. Requests, executors and functions are small whole
 numbers that the host hands out and takes back when the module releases them.
 """
 
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """What running a trigger twice would do."""
+    """What running a request twice would do."""
 
     HARMLESS = "harmless"
     STAMPED = "stamped"
@@ -19,7 +19,7 @@
 
 
 class Scope(Enum):
-    """Which executors drop the repeats of a stamped trigger."""
+    """Which executors drop the repeats of a stamped request."""
 
     ALL = "all"
     HALL = "hall"
@@ -114,7 +114,7 @@
     """
 
     verb: Verb
-    trigger: int = -1
+    request: int = -1
     executor: int = -1
     function: int = -1
     number: int = 0
@@ -134,7 +134,7 @@
 
 class Customer(NamedTuple):
     portion: float
-    rate: float  # triggers a second within the share, over all front ends; 0: untold
+    rate: float  # requests a second within the share, over all front ends; 0: untold
 
 
 class Listing(NamedTuple):
@@ -203,6 +203,6 @@
 class Released(NamedTuple):
     """Indices that the module has forgotten for good; the host may use them anew."""
 
-    triggers: list[int]
+    requests: list[int]
     executors: list[int]
     functions: list[int]
--- a/petrelway/load/arrivals.py
+++ b/petrelway/load/arrivals.py
@@ -1,4 +1,4 @@
-"""When triggers are due and what they ask for, pure: drawn, or read from a trace. Times in ms."""
+"""When requests are due and what they ask for, pure: drawn, or read from a trace. Times in ms."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Due(NamedTuple):
-    """One trigger: when it is due, its function and its size, the work on a core of speed 1."""
+    """One request: when it is due, its function and its size, the work on a core of speed 1."""
 
     at_ms: float
     function: str
@@ -28,7 +28,7 @@
 
 
 class Rate:
-    """Triggers a second as a function of time: a first rate, steps to others, surges that multiply.
+    """Requests a second as a function of time: a first rate, steps to others, surges that multiply.
 
     >>> rate = Rate(10.0, [(2.0, 20.0)], [(1.0, 0.5, 3.0)])
     >>> [rate.at(t) for t in (0, 1000, 1499, 1500, 2500)], rate.next_change(0.0), rate.next_change(2000.0)
--- a/petrelway/load/plan.py
+++ b/petrelway/load/plan.py
@@ -78,7 +78,7 @@
             raise SettingsFault(file, faults)
 
     def due(self) -> Iterator[Due]:
-        """All triggers in order; the same each time. Raises TraceFault as it reads."""
+        """All requests in order; the same each time. Raises TraceFault as it reads."""
         told = self.told
         if told.trace:
             return itertools.takewhile(
--- a/petrelway/load/sender.py
+++ b/petrelway/load/sender.py
@@ -32,7 +32,7 @@
 
     Danger: a generator that waits for answers sends less while the target stands still, and its figures look
     good. What is due is sent here, or counted as not sent past `open_bound`; and each latency counts from
-    when the trigger was due, also where this process itself was late.
+    when the request was due, also where this process itself was late.
     """
 
     def __init__(
@@ -117,7 +117,7 @@
 
 
 class Try:
-    """One trigger on its connection."""
+    """One request on its connection."""
 
     def __init__(self, sender: Sender, due: Due, id: str) -> None:
         self.sender, self.due, self.id = sender, due, id
--- a/petrelway/node/door.py
+++ b/petrelway/node/door.py
@@ -268,7 +268,7 @@
         connections_bound: int,
         retry_ms: float = 0.0,
     ) -> None:
-        """`refuse`: None to take a customer's trigger, else the retry time of the nack it gets at once;
+        """`refuse`: None to take a customer's request, else the retry time of the nack it gets at once;
         `retry_ms`: that of a client that reads no answers."""
         self.asks, self.take, self.refuse, self.serving = asks, take, refuse, serving
         self.clock, self.log, self.connections_bound = clock, log, connections_bound
--- a/petrelway/platform/lines.py
+++ b/petrelway/platform/lines.py
@@ -18,7 +18,7 @@
 from .faults import PlatformFault
 from .passed import Passed
 
-BODY_BOUND = 16 * 1024  # bytes of a trigger's body
+BODY_BOUND = 16 * 1024  # bytes of a request's body
 LINE_BOUND = (BODY_BOUND + 2) // 3 * 4 + 2048  # and of its line: the body in base64, and the rest
 NUMBER_BOUND = 1 << 53  # a request's number
 WORK_BOUND_MS = 1e7  # what a hint at the work may say
--- a/petrelway/platform/passed.py
+++ b/petrelway/platform/passed.py
@@ -4,7 +4,7 @@
 
 
 class Passed:
-    """One trigger's id (8 bytes), tariff, function, mark against repeats (empty: none) and body.
+    """One request's id (8 bytes), tariff, function, mark against repeats (empty: none) and body.
 
     Its length is the body's, in bytes: that is what the host counts as held.
     """
--- a/petrelway/policy/adopter.py
+++ b/petrelway/policy/adopter.py
@@ -1,8 +1,8 @@
-"""One member's terms, pure: under which version it may take a trigger now, what it has promised, when it
+"""One member's terms, pure: under which version it may take a request now, what it has promised, when it
 changes over. Times are ms of the member's own clock, which never steps back.
 
 The table of states is in docs/policy.md. Nobody is ever half way: what a version needs is made and checked
-before the member says yes, and to change over is one assignment, in the turn in which a trigger is taken or
+before the member says yes, and to change over is one assignment, in the turn in which a request is taken or
 before.
 """
 
@@ -53,13 +53,13 @@
 
 
 class Adopter:
-    """What this process may take triggers under."""
+    """What this process may take requests under."""
 
     def __init__(
         self, now: float, name: str, token: int, own: Terms, make: Callable[[str], tuple[Any, bool]]
     ) -> None:
         """`own`: version 0, what the settings say. `make` checks a document and makes of it all that taking
-        triggers under it needs, and whether it holds on a lease; raises ValueError with what is wrong."""
+        requests under it needs, and whether it holds on a lease; raises ValueError with what is wrong."""
         self.name, self.token, self.make = name, token, make
         self.terms, self.own = own, own
         self.asking = True  # it has not been told yet what holds
@@ -76,8 +76,8 @@
     # -- what holds
 
     def look(self, now: float) -> tuple[Terms | None, float]:
-        """The terms to take a trigger under now, or None and a time to come back (ms). It changes over here:
-        danger: one that stood still would take the first trigger in its socket under terms that are over."""
+        """The terms to take a request under now, or None and a time to come back (ms). It changes over here:
+        danger: one that stood still would take the first request in its socket under terms that are over."""
         change = self.change
         if change is not None and now >= change.start_ms:
             self.terms, self.change, self.promise, self.asking = change.terms, None, None, False
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -117,7 +117,7 @@
     >>> differences(one, one.replace("500", "400"))[0].where
     'tariffs[quick].outer_ms'
     >>> differences(one, '{"tariffs":[]}')[0].danger
-    'triggers that name it are refused'
+    'requests that name it are refused'
     """
     one, two = json.loads(before), json.loads(after)
     found: list[Difference] = []
--- a/petrelway/policy/party.py
+++ b/petrelway/policy/party.py
@@ -3,7 +3,7 @@
 
 How to call it: tell it what happens, then call `decide(now)` until it gives None and carry each decision out
 in its order, a disk's before the next; call again at `due_ms(now)` at the latest. `terms(now)` says under
-which terms a trigger may be taken in this turn. Times are ms of a clock that never steps back.
+which terms a request may be taken in this turn. Times are ms of a clock that never steps back.
 """
 
 from __future__ import annotations
@@ -205,7 +205,7 @@
     # -- what holds
 
     def terms(self, now: float) -> tuple[Terms | None, float]:
-        """The terms to take a trigger under in this turn, or None and a time to come back (ms)."""
+        """The terms to take a request under in this turn, or None and a time to come back (ms)."""
         return self.adopter.look(now)
 
     def state(self, now: float) -> Serving:
--- a/petrelway/policy/service.py
+++ b/petrelway/policy/service.py
@@ -288,7 +288,7 @@
     # -- what holds
 
     def look(self) -> float:
-        """0 if a trigger may be taken in this turn, under `terms`; else a time to come back (ms)."""
+        """0 if a request may be taken in this turn, under `terms`; else a time to come back (ms)."""
         terms, retry_ms = self.party.terms(self.now())
         if terms is None:
             return max(1.0, retry_ms)
--- a/petrelway/rehearsal/baselines.py
+++ b/petrelway/rehearsal/baselines.py
@@ -5,27 +5,27 @@
 from collections import deque
 from collections.abc import Iterable
 
-from ..choice import Executor, FrontEnd, Trigger
+from ..choice import Executor, FrontEnd, Request
 from ..interface import Decision, Listing, Released, Stage, Verb
 
 
 class RandomChoice(FrontEnd):
     """Any executor that the rules allow."""
 
-    def choose(self, t: Trigger, now: float) -> Executor | None:
+    def choose(self, t: Request, now: float) -> Executor | None:
         fit = [e for e in self.ready if self._allowed(t, e, now)]
         return self.chance.choice(fit) if fit else None
 
-    def _allowed(self, t: Trigger, e: Executor, now: float) -> bool:
+    def _allowed(self, t: Request, e: Executor, now: float) -> bool:
         if any(x.executor is e for x in t.out.values()):
             return False
         return self.gate.send(t, e, len(self.ready), now)
 
 
 class LeastLoaded(RandomChoice):
-    """The executor with the fewest own triggers in flight that the rules allow."""
+    """The executor with the fewest own requests in flight that the rules allow."""
 
-    def choose(self, t: Trigger, now: float) -> Executor | None:
+    def choose(self, t: Request, now: float) -> Executor | None:
         fit = [e for e in self.ready if self._allowed(t, e, now)]
         return min(fit, key=lambda e: (len(e.out), self.chance.random())) if fit else None
 
@@ -47,10 +47,10 @@
     def function_named(self, *_: object) -> None:
         pass
 
-    def trigger_taken(
+    def request_taken(
         self,
         now: float,
-        trigger: int,
+        request: int,
         tariff: int,
         customer: int,
         function: int,
@@ -58,16 +58,16 @@
         *_: object,
     ) -> None:
         if not self.executors:
-            self.todo.append(Decision(Verb.NACK, trigger))
-            self.done.triggers.append(trigger)
+            self.todo.append(Decision(Verb.NACK, request))
+            self.done.requests.append(request)
             return
         self.turn = (self.turn + 1) % len(self.executors)
-        self.todo.append(Decision(Verb.SEND, trigger, self.executors[self.turn]))
+        self.todo.append(Decision(Verb.SEND, request, self.executors[self.turn]))
 
     def transmission_ended(
         self,
         now: float,
-        trigger: int,
+        request: int,
         number: int,
         outcome: object,
         took_ms: float,
@@ -75,8 +75,8 @@
         *_: object,
     ) -> None:
         if not finished:
-            self.todo.append(Decision(Verb.BREAK_OFF, trigger))
-        self.done.triggers.append(trigger)
+            self.todo.append(Decision(Verb.BREAK_OFF, request))
+        self.done.requests.append(request)
 
     def order_answered(self, *_: object) -> None:
         pass
--- a/petrelway/rehearsal/benchday.py
+++ b/petrelway/rehearsal/benchday.py
@@ -12,7 +12,7 @@
 
 from ..settings.reading import FILE_BOUND, Fault, SettingsFault
 
-RATE_BOUND = 400.0  # triggers a second that a rehearsal on one machine plays at the most
+RATE_BOUND = 400.0  # requests a second that a rehearsal on one machine plays at the most
 FRONTS_BOUND, EXECUTORS_BOUND = 8, 60
 LENGTH_BOUND_S = 300.0
 EFFECTS = {"safe": "harmless", "keyed": "stamped", "unsafe": "one-shot"}
@@ -137,7 +137,7 @@
         if c.get("stream", False):
             left_out.append(f"streams of {name}")
     mean_work = sum(shares[n] * work[n]["mean_ms"] for n in work) / max(1e-9, sum(shares.values()))
-    full = executors * speeds * 1e3 / max(1.0, mean_work)  # triggers a second that fill the cores
+    full = executors * speeds * 1e3 / max(1.0, mean_work)  # requests a second that fill the cores
     rate = day["traffic"]["load"].number() * full
     if rate > RATE_BOUND:
         left_out.append(f"traffic over {RATE_BOUND:g} triggers a second (asked {rate:.0f})")
--- a/petrelway/rehearsal/report.py
+++ b/petrelway/rehearsal/report.py
@@ -107,7 +107,7 @@
 
 
 def _each(count: int, first: dict) -> float:
-    """For each trigger that a client sent for the first time."""
+    """For each request that a client sent for the first time."""
     return round(count / max(1, len(first)), 3)
 
 
@@ -138,7 +138,7 @@
     ]
     if faults:
         lines.append(f"RULES BROKEN: {len(faults)}")
-        lines += [f"  rule {f.rule} at {f.at_ms / 1e3:.3f} s, {f.trigger}: {f.what}" for f in faults[:20]]
+        lines += [f"  rule {f.rule} at {f.at_ms / 1e3:.3f} s, {f.request}: {f.what}" for f in faults[:20]]
     else:
         lines.append("rules: all five kept")
     lines += told_of_fleet(breaches)
@@ -146,7 +146,7 @@
 
 
 def as_json(found: dict[str, Any], faults: list, breaches: list | None = None) -> str:
-    said = {**found, "broken_rules": [f._asdict() for f in faults]}
+    said = {**found, "broken_rules": [f.as_json() for f in faults]}
     if breaches is not None:
-        said["broken_statements"] = [b._asdict() for b in breaches]
+        said["broken_statements"] = [b.as_json() for b in breaches]
     return msgspec.json.encode(said).decode()
--- a/petrelway/rules/checker.py
+++ b/petrelway/rules/checker.py
@@ -18,14 +18,24 @@
 
 
 class Fault(NamedTuple):
-    """One breach: rule 1 to 5, when, of which trigger or executor, in words, and the lines that show it."""
+    """One breach: rule 1 to 5, when, of which request or executor, in words, and the lines that show it."""
 
     rule: int
     at_ms: float
-    trigger: str
+    request: str
     what: str
     evidence: list[dict[str, Any]]
 
+    def as_json(self) -> dict[str, Any]:
+        """For `judge --json` and reports, whose keys are an outside form."""
+        return {
+            "rule": self.rule,
+            "at_ms": self.at_ms,
+            "trigger": self.request,
+            "what": self.what,
+            "evidence": self.evidence,
+        }
+
 
 class TariffRule(NamedTuple):
     effect: str  # harmless, stamped or one-shot
@@ -74,7 +84,7 @@
     )
 
 
-Trigger = tuple[str, str, int]  # front end, its process, serial there
+Request = tuple[str, str, int]  # front end, its process, serial there
 
 
 class Book:
@@ -83,10 +93,10 @@
     def __init__(self, lines: Iterable[dict[str, Any]]) -> None:
         self.asks: dict[tuple[str, int, str], dict] = {}  # mark, try, front end
         self.ends: dict[tuple[str, int, str], dict] = {}  # how each ended at the client
-        self.received: dict[Trigger, list[dict]] = defaultdict(list)
+        self.received: dict[Request, list[dict]] = defaultdict(list)
         self.by_ask: dict[tuple[str, int, str], list[dict]] = defaultdict(list)
         self.proofs: dict[
-            tuple[Trigger, int], float
+            tuple[Request, int], float
         ] = {}  # transmissions that never ran, and when it was said
         self.orders: dict[tuple[str, str], list[dict]] = defaultdict(list)
         self.told: dict[tuple[str, str], list[dict]] = defaultdict(list)
@@ -103,8 +113,8 @@
         kind, t = line["k"], line["t"]
         self.last_ms = max(self.last_ms, t)
         if kind == "recv":
-            trigger = (line["fe"], line["fp"], line["s"])
-            self.received[trigger].append(line)
+            request = (line["fe"], line["fp"], line["s"])
+            self.received[request].append(line)
             self.by_ask[line["m"], line["r"], line["fe"]].append(line)
         elif kind == "end" and "ex" in line:
             if line["o"] in (FULL, MISS):
@@ -171,7 +181,7 @@
 
 
 def _answers(book: Book, told: Figures) -> Iterable[Fault]:
-    """Rule 1: one final answer in time for each trigger taken, nothing sent after."""
+    """Rule 1: one final answer in time for each request taken, nothing sent after."""
     for key, ask in book.asks.items():
         end = book.ends.get(key)
         due = ask["t"] + ask["left"] + told.grace_ms
@@ -204,14 +214,14 @@
 
 def _effects(book: Book, told: Figures) -> Iterable[Fault]:
     """Rule 2: no effect twice, and no nack that promises too much."""
-    for trigger, some in book.received.items():
+    for request, some in book.received.items():
         tariff = told.tariffs[some[0]["f"]]
         if tariff.effect == "harmless":
             continue
         some = sorted(some, key=lambda line: line["n"])
-        key = (some[0]["m"], some[0]["r"], trigger[0])
+        key = (some[0]["m"], some[0]["r"], request[0])
         for i, earlier in enumerate(some):
-            proved = book.proofs.get((trigger, earlier["n"]), float("inf"))
+            proved = book.proofs.get((request, earlier["n"]), float("inf"))
             for later in some[i + 1 :]:
                 if proved <= sent(later):
                     continue
@@ -252,7 +262,7 @@
             and (tariff.effect == "one-shot" or tariff.scope != "all")
         ):
             for line in some:
-                if book.proofs.get((trigger, line["n"]), float("inf")) > end["t"]:
+                if book.proofs.get((request, line["n"]), float("inf")) > end["t"]:
                     yield Fault(
                         2,
                         end["t"],
@@ -357,7 +367,7 @@
 
 
 def _ration(book: Book, told: Figures) -> Iterable[Fault]:
-    """Rule 5: orders to load within the window stay under the few plus the share of triggers taken."""
+    """Rule 5: orders to load within the window stay under the few plus the share of requests taken."""
     if told.ration_window_ms <= 0.0:
         return
     taken: dict[str, list[float]] = defaultdict(list)
--- a/petrelway/rules/fleet.py
+++ b/petrelway/rules/fleet.py
@@ -28,6 +28,16 @@
     what: str
     evidence: list[dict[str, Any]]
 
+    def as_json(self) -> dict[str, Any]:
+        """For `judge --json` and reports, whose keys are an outside form."""
+        return {
+            "statement": self.statement,
+            "at_ms": self.at_ms,
+            "who": self.who,
+            "what": self.what,
+            "evidence": self.evidence,
+        }
+
 
 class Spell(NamedTuple):
     """From when until when."""
--- a/petrelway/rules/policy.py
+++ b/petrelway/rules/policy.py
@@ -1,6 +1,6 @@
 """Judges the record of a fleet whose terms were changed: everywhere or nowhere. Imports nothing of it.
 
-Lines: `took` (fe, version, digest, t): a trigger taken; `change` (id, base, state, version): how a proposal
+Lines: `took` (fe, version, digest, t): a request taken; `change` (id, base, state, version): how a proposal
 ended, as its operator was told; `vouched` (fe, t): an operator said that it is gone; `history` (rows of
 number, base, digest, proposal): what the keepers say at the end.
 """
@@ -38,7 +38,7 @@
 
 
 def _apart(takes: list[Mapping[str, Any]], apart_ms: float) -> Iterable[Breach]:
-    """No trigger is taken under a version once one was taken under a later one, but for `apart_ms`."""
+    """No request is taken under a version once one was taken under a later one, but for `apart_ms`."""
     first: dict[int, Mapping[str, Any]] = {}
     last: dict[int, Mapping[str, Any]] = {}
     for x in takes:
--- a/petrelway/settings/days.py
+++ b/petrelway/settings/days.py
@@ -107,7 +107,7 @@
 
 
 class Work(Strict):
-    """What triggers cost: by tariff, on a core of speed 1."""
+    """What requests cost: by tariff, on a core of speed 1."""
 
     mean_ms: Some = 150.0
     cv: Annotated[float, Meta(ge=0, le=5)] = 0.7
--- a/petrelway/standin/clients.py
+++ b/petrelway/standin/clients.py
@@ -98,7 +98,7 @@
 
 
 class Attempt:
-    """One try of one trigger at one front end."""
+    """One try of one request at one front end."""
 
     def __init__(
         self, clients: Clients, id: str, asked: Asked, first_ms: float, turn: int, front: int
--- a/petrelway/standin/machine.py
+++ b/petrelway/standin/machine.py
@@ -18,7 +18,7 @@
 
 
 class Work(NamedTuple):
-    """One trigger as the executor sees it."""
+    """One request as the executor sees it."""
 
     front: object  # whoever must hear of its end
     serial: int
@@ -130,7 +130,7 @@
         self.frozen = 0
         self.held: list[Callable[[], None]] = []
         self.dead = False
-        self.throttle: tuple[str, float, float] | None = None  # customer, triggers a second, ms to say so
+        self.throttle: tuple[str, float, float] | None = None  # customer, requests a second, ms to say so
         self.throttle_seen: deque[float] = deque()
         self.progress_ms = self.now()
         self.sweeper = clock.callLater(SWEEP_MS / 1e3, self._sweep)
@@ -213,7 +213,7 @@
             self._remove(copy)
 
     def front_lost(self, front: object) -> None:
-        """Its triggers stop; what it ordered is still loaded."""
+        """Its requests stop; what it ordered is still loaded."""
         for job in [j for j in self.jobs.values() if j.work.front is front]:
             self._drop(job)
         for waiting in self.orders.values():
@@ -266,7 +266,7 @@
                 call.cancel()
         self.jobs.clear()
 
-    # -- triggers
+    # -- requests
 
     def _throttled(self, customer: str, now: float) -> bool:
         if self.throttle is None or customer != self.throttle[0]:
@@ -311,7 +311,7 @@
         self._schedule()
 
     def _rate(self) -> float:
-        """Work done for each running trigger in a ms."""
+        """Work done for each running request in a ms."""
         if self.frozen or not self.shared:
             return 0.0
         return self.speed * self.capacity() * min(1.0, self.cores / self.shared) / self.slowed
--- a/petrelway/standin/memory.py
+++ b/petrelway/standin/memory.py
@@ -341,7 +341,7 @@
         self.ports: list[Port] = []
         self.stopped = self.dead = False
         self.backlog: deque[tuple[Callable, tuple, dict]] = deque()
-        self.triggers: list[tuple[Callable, tuple]] = []
+        self.requests: list[tuple[Callable, tuple]] = []
 
     def seconds(self) -> float:
         return self.world.now_s
@@ -394,11 +394,11 @@
         return Connector(self, port, factory, timeout)
 
     def addSystemEventTrigger(self, phase: str, event: str, what: Callable, *args) -> None:
-        self.triggers.append((what, args))
+        self.requests.append((what, args))
 
     def stop(self) -> None:
         """The end of a process that asked for it; other ends see its connections close."""
-        for what, args in self.triggers:
+        for what, args in self.requests:
             what(*args)
         self.kill()
 
--- a/petrelway/standin/traffic.py
+++ b/petrelway/standin/traffic.py
@@ -21,7 +21,7 @@
 
 
 class Asked(NamedTuple):
-    """One trigger of a client, before its first try; times in ms."""
+    """One request of a client, before its first try; times in ms."""
 
     tariff: int
     customer: int
--- a/petrelway/wire/codec.py
+++ b/petrelway/wire/codec.py
@@ -278,7 +278,7 @@
         raise WireFault("a message of no known kind")
 
 
-# danger: an executor that could say UNREACHABLE or UNSENT would have a one-shot trigger run twice
+# danger: an executor that could say UNREACHABLE or UNSENT would have a one-shot request run twice
 SAYABLE = frozenset((0, 1, 2, 6, 8))  # FULFILLED, ERROR, FULL, WITHDRAWN, MISS of interface.Outcome
 
 
--- a/petrelway/worker/desk.py
+++ b/petrelway/worker/desk.py
@@ -1,7 +1,7 @@
 """What a worker decides, pure: queue, lanes, loads, memory, repeats, drain. No I/O, the clock handed in.
 
 Inputs only update what is known; the shell then calls decide(now) until it gives None and carries out each
-Act. A trigger is owed one `ended` unless it was withdrawn, ran out of time, or its front end is gone. Times
+Act. A request is owed one `ended` unless it was withdrawn, ran out of time, or its front end is gone. Times
 are milliseconds.
 """
 
@@ -57,7 +57,7 @@
 
 
 class Ask:
-    """One transmission of a trigger."""
+    """One transmission of a request."""
 
     def __init__(
         self,
@@ -195,7 +195,7 @@
             self._give_up(ask, now)
 
     def front_gone(self, now: float, front: Any) -> None:
-        """Its triggers stop; what it ordered is still loaded, but it hears of nothing."""
+        """Its requests stop; what it ordered is still loaded, but it hears of nothing."""
         for ask in [a for a in self.asks.values() if a.front is front]:
             self._give_up(ask, now)
         for waiting in self.orders.values():
@@ -267,7 +267,7 @@
         self.look = True
 
     def load_failed(self, now: float, id: int, why: str) -> None:
-        """Fetch, check or start failed: its triggers never ran, the room comes back."""
+        """Fetch, check or start failed: its requests never ran, the room comes back."""
         load = self.loads.under_way.get(id)
         if load is None:
             return
@@ -389,7 +389,7 @@
         """Nothing is owed and nothing runs."""
         return not self.asks and not self.in_work and not self.loads.under_way
 
-    # -- triggers
+    # -- requests
 
     def _enter(self, ask: Ask) -> None:
         self.asks[ask.front, ask.serial, ask.number] = ask
@@ -429,7 +429,7 @@
         self.asks.pop((ask.front, ask.serial, ask.number), None)
 
     def _done(self, ask: Ask, outcome: int, body: bytes, now: float) -> None:
-        """A call is over: the trigger hears, and those that attached to it."""
+        """A call is over: the request hears, and those that attached to it."""
         if not ask.over:
             self._leave(ask)
             self._say(ask, outcome, ask.warmth, body if outcome == FULFILLED else b"")
@@ -492,7 +492,7 @@
         self.acts.append(Act(Do.STOP_CALL, copy.id, call))
 
     def _lanes(self, now: float) -> None:
-        """Waiting triggers go to free lanes, the oldest deadline first where slots are few."""
+        """Waiting requests go to free lanes, the oldest deadline first where slots are few."""
         functions = list(self.waiting)
         if self.in_work + self.waits > self.slots:
             functions.sort(key=lambda f: self.waiting[f][0].until_ms)
--- a/petrelway/worker/loading.py
+++ b/petrelway/worker/loading.py
@@ -15,7 +15,7 @@
         self.id, self.function, self.mb, self.lanes = id, function, mb, lanes
         self.wished_ms = wished_ms
         self.began_ms = -1.0  # -1: waits for its turn
-        self.ordered_until = -math.inf  # an order's patience: counts as a waiting trigger until then
+        self.ordered_until = -math.inf  # an order's patience: counts as a waiting request until then
         self.digest = ""
 
     def __repr__(self) -> str:
@@ -50,7 +50,7 @@
     def next(self, deadlines: dict[str, float], now: float) -> tuple[Load | None, list[Load]]:
         """The load whose turn it is, and those that nothing waits for any more (they leave the line).
 
-        `deadlines` has for each function the earliest time by which a waiting trigger must be answered.
+        `deadlines` has for each function the earliest time by which a waiting request must be answered.
         """
         idle = [x for x in self.line.values() if x.function not in deadlines and x.ordered_until < now]
         for load in idle:
@@ -78,7 +78,7 @@
                 del self.of[load.function]
 
     def failed(self, load: Load, now: float) -> None:
-        """Danger: a package that can't load would be fetched again by each trigger that asks for it."""
+        """Danger: a package that can't load would be fetched again by each request that asks for it."""
         self.over(load)
         times = self.failures.get(load.function, (0, 0.0, 0.0))[0]
         wait = min(BACK_OFF_MOST_MS, BACK_OFF_MS * 2.0**times)
--- a/petrelway/worker/repeats.py
+++ b/petrelway/worker/repeats.py
@@ -1,4 +1,4 @@
-"""Marks of stamped triggers, pure: a repeat attaches to its first try or gets its answer again."""
+"""Marks of stamped requests, pure: a repeat attaches to its first try or gets its answer again."""
 
 from __future__ import annotations
 
--- a/tests/compatibility/forms_drill.py
+++ b/tests/compatibility/forms_drill.py
@@ -42,7 +42,7 @@
 
 
 def _door() -> Door:
-    """A door that knows executor s-1, function fn-1 and trigger r1, with a module that only listens."""
+    """A door that knows executor s-1, function fn-1 and request r1, with a module that only listens."""
     door = Door("a", NOW_MS, 1, SETTINGS)
     door.front_end = Recorder(door.front_end)
     door.event(NOW_MS, TOPOLOGY)
--- a/tests/compatibility/forms_intake.py
+++ b/tests/compatibility/forms_intake.py
@@ -27,7 +27,7 @@
 
 
 class Conversation:
-    """One client's connection to an intake whose triggers are answered by hand."""
+    """One client's connection to an intake whose requests are answered by hand."""
 
     def __init__(self) -> None:
         self.taken: list[list[Any]] = []
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -61,19 +61,19 @@
         self.fe.executors_listed(self.now, lines, complete)
 
     def rich(self):
-        """Enough own triggers asked for that our counts tell."""
+        """Enough own requests asked for that our counts tell."""
         self.fe.asked = 1e9
 
     def take(self, function=0, remaining=4000.0, work=100.0, customer=0):
         if function not in self.fe.functions:
             self.fe.function_named(self.now, function, f"f{function}", 100.0, 2, 500.0)
         self.serial += 1
-        self.fe.trigger_taken(self.now, self.serial, 0, customer, function, remaining, work, False)
+        self.fe.request_taken(self.now, self.serial, 0, customer, function, remaining, work, False)
         return self.serial
 
-    def end(self, trigger, outcome, number=0, executor=0, took=100.0, warmth=Warmth.FOUND, finished=None):
+    def end(self, request, outcome, number=0, executor=0, took=100.0, warmth=Warmth.FOUND, finished=None):
         done = outcome is Outcome.FULFILLED if finished is None else finished
-        self.fe.transmission_ended(self.now, trigger, number, outcome, took, done, warmth)
+        self.fe.transmission_ended(self.now, request, number, outcome, took, done, warmth)
 
     def pull(self, forward=0.0) -> list[Decision]:
         """All decisions now, or up to a later time as the wakes fall due."""
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -9,16 +9,16 @@
 
 
 def ask(host, function=0, customer=0):
-    """What the choice would be for a trigger, without sending it."""
-    t = host.fe.triggers[host.take(function, customer=customer)]
+    """What the choice would be for a request, without sending it."""
+    t = host.fe.requests[host.take(function, customer=customer)]
     chosen = host.fe.choose(t, host.now)
-    del host.fe.triggers[t.index]
+    del host.fe.requests[t.index]
     host.fe.attention.clear()
     return chosen
 
 
 def test_the_page():
-    # own triggers of the function and of others at 0 and 1 (both skilled), chosen: 2 and up are unskilled
+    # own requests of the function and of others at 0 and 1 (both skilled), chosen: 2 and up are unskilled
     table = [
         ((0, 0), (0, 1), {0}),  # the least weighted backlog
         ((0, 0), (3, 1), {1}),
@@ -59,7 +59,7 @@
 
 def test_homes_of_a_hot_function():
     """Danger: of hundreds of front ends each sees a hot function now and then, and all load one executor."""
-    # triggers of it among 40, front ends, least and most homes of 20 executors
+    # requests of it among 40, front ends, least and most homes of 20 executors
     for hot, peers, least, most in ((2, 100, 1, 1), (20, 100, 10, 60), (20, 1, 1, 3)):
         host = Host(20, peers=peers, rate=50.0)
         for k in range(40):
@@ -71,8 +71,8 @@
 
 
 def test_heavy_traffic_in_a_sparse_view():
-    """Danger: hundreds of front ends with few triggers each never reach a limit for one executor."""
-    # in flight, limit, size of the trigger, what follows at once
+    """Danger: hundreds of front ends with few requests each never reach a limit for one executor."""
+    # in flight, limit, size of the request, what follows at once
     for out, limit, work, expected in (
         (1, 2.0, 100.0, ["SEND"]),
         (2, 2.0, 100.0, []),
@@ -129,7 +129,7 @@
 
 
 def test_overdue_is_sent_again_and_written_off():
-    """Danger: an executor takes triggers and answers none."""
+    """Danger: an executor takes requests and answers none."""
     host = Host(3)
     host.teach(0)
     host.teach(1)
@@ -179,7 +179,7 @@
     t = host.take(0)
     host.fe.seconds = 0.0
     assert verbs(host.pull(250.0)) == []  # held for a place
-    assert verbs(host.pull(200.0)) == ["NACK"] and t not in host.fe.triggers
+    assert verbs(host.pull(200.0)) == ["NACK"] and t not in host.fe.requests
 
 
 def test_restart_and_memory():
@@ -193,8 +193,8 @@
     assert 7 not in host.fe.executors[1].resume  # idle past the told least keep-alive
     host.pull(70000.0)
     free = host.fe.released()
-    assert free.executors == [0] and sorted(free.functions) == [0, 7] and len(free.triggers) == 2
-    assert not host.fe.functions and not host.fe.triggers and list(host.fe.executors) == [1]
+    assert free.executors == [0] and sorted(free.functions) == [0, 7] and len(free.requests) == 2
+    assert not host.fe.functions and not host.fe.requests and list(host.fe.executors) == [1]
     host.end(1, Outcome.FULFILLED)  # late, unknown: nothing happens
     host.fe.client_gone(host.now, 1)
     host.fe.order_answered(host.now, 0, 0, Outcome.FULFILLED, 1, 1.0)
@@ -230,7 +230,7 @@
         host.teach(0)
         for e in host.fe.ready:
             e.weigh(1, 0.5)
-        host.fe.trigger_taken(host.now, 99, 0, 0, 0, 4000.0, 100.0, repeat)
+        host.fe.request_taken(host.now, 99, 0, 0, 0, 4000.0, 100.0, repeat)
         assert verbs(host.pull()) == expected, repeat
 
 
@@ -260,11 +260,11 @@
         host.pull(1100.0)
         assert len(host.fe.gate.taken) <= 60 and len(host.fe.due) < 100 and not host.fe.attention
     host.pull(130_000.0)
-    assert host.fe.functions == {} and host.fe.triggers == {} and len(host.fe.due) < 5
+    assert host.fe.functions == {} and host.fe.requests == {} and len(host.fe.due) < 5
 
 
 def test_a_decision_that_raises():
-    """Danger: it would raise again at the same trigger for ever, and all others would go unanswered."""
+    """Danger: it would raise again at the same request for ever, and all others would go unanswered."""
     host = Host(2)
     sick, well = host.take(0), host.take(1)
     choose = host.fe.choose
@@ -274,8 +274,8 @@
         host.pull()
     except ZeroDivisionError:
         assert host.fe.failed() == sick
-    assert [d.trigger for d in host.pull()] == [well] and host.fe.failed() == -1
-    assert host.fe.released().triggers == [sick] and list(host.fe.triggers) == [well]
+    assert [d.request for d in host.pull()] == [well] and host.fe.failed() == -1
+    assert host.fe.released().requests == [sick] and list(host.fe.requests) == [well]
 
 
 def check_sums(fe):
@@ -308,7 +308,7 @@
                 host.take(chance.randrange(5), work=chance.choice([0.0, 50.0, 400.0]))
             for d in host.pull(chance.choice([0.0, 5.0, 60.0, 3000.0])):
                 if d.verb is Verb.SEND:
-                    out.setdefault(d.trigger, []).append(len(out.get(d.trigger, ())))
+                    out.setdefault(d.request, []).append(len(out.get(d.request, ())))
                 elif d.verb is Verb.ORDER:
                     end = chance.choice(list(Outcome))
                     host.fe.order_answered(host.now, d.executor, d.function, end, 1, 300.0)
@@ -321,17 +321,17 @@
 
 
 def test_a_great_fleet_is_filled_within_seconds():
-    """Danger: with few own triggers for each executor the limit for all of them grew by two in the time of
+    """Danger: with few own requests for each executor the limit for all of them grew by two in the time of
     an answer, and one front end of a great fleet served a tenth of what it was asked for half a minute."""
     host, served = Host(800), 0
-    for _ in range(30):  # 100 triggers, answered 100 ms later, as if each found its copy
+    for _ in range(30):  # 100 requests, answered 100 ms later, as if each found its copy
         sends = []
         for _ in range(100):
             host.take(host.serial % 50, work=100.0)
         sends = [d for d in host.pull() if d.verb is Verb.SEND]
         host.now += 100.0
         for d in sends:
-            host.end(d.trigger, Outcome.FULFILLED, took=100.0)
+            host.end(d.request, Outcome.FULFILLED, took=100.0)
         served += len(sends)
     assert served > 0.8 * 30 * 100
 
@@ -339,7 +339,7 @@
 def test_of_many_homes_the_least_of_a_part():
     """A great fleet costs no more; and no home is left out for good."""
     host = Host(400)
-    f = host.fe.functions.get(0) or host.fe.functions[host.fe.triggers[host.take(0)].function.index]
+    f = host.fe.functions.get(0) or host.fe.functions[host.fe.requests[host.take(0)].function.index]
     host.rich()
     for e in host.fe.ready:
         host.fe._skilled(e, f, host.now)
@@ -355,8 +355,8 @@
 def test_a_jam_is_told_by_the_share_of_late_answers():
     """Danger: one late answer in five cut the limit before and the four others made up for it, so that in an
     overload hundreds of front ends kept all executors at the edge of being late; and a few slow executors,
-    which are no overload, must not cost the others their triggers."""
-    # one answer in so many is late -> where is the limit for all own triggers, 12 at the start
+    which are no overload, must not cost the others their requests."""
+    # one answer in so many is late -> where is the limit for all own requests, 12 at the start
     for one_in, expected in ((2, "floor"), (20, "open"), (10**9, "open")):
         host = Host(30, seconds=False)
         host.fe.cut_ms = host.now - 1.0  # past the doubling
@@ -365,7 +365,7 @@
             host.take(i % 4, work=100.0)
             for d in host.pull(20.0):
                 if d.verb is Verb.SEND:
-                    sent[d.trigger] = host.now
+                    sent[d.request] = host.now
             for t in [t for t, at in sent.items() if host.now - at >= 100.0]:
                 del sent[t]
                 late = t > 40 and t % one_in == one_in - 1
@@ -376,7 +376,7 @@
 
 def test_the_limit_holds_wherever_that_of_each_executor_cannot():
     """Danger: between a sparse view and a rich one neither limit held, and a jam had no end."""
-    # own triggers in flight for each executor, as seen -> what follows for one trigger more than the limit
+    # own requests in flight for each executor, as seen -> what follows for one request more than the limit
     for view, expected in ((0.1, []), (0.5, []), (LIMIT_LEAST - 0.1, []), (LIMIT_LEAST + 0.1, ["SEND"])):
         host = Host(20)
         host.teach(0)
@@ -386,8 +386,8 @@
         assert verbs(host.pull()) == expected, view
 
 
-def test_short_triggers_do_not_crowd():
-    """Danger: what an answer takes beside its work (network, waiting for input) makes short triggers look
+def test_short_requests_do_not_crowd():
+    """Danger: what an answer takes beside its work (network, waiting for input) makes short requests look
     many times slower than their work; a plain mean of ratios cut the limits of executors with room."""
     host = Host(1)
     host.teach(0)
@@ -408,7 +408,7 @@
     found = []
     for f in functions:
         t = host.take(f)
-        sent = [d for d in host.pull() if d.verb is Verb.SEND and d.trigger == t]
+        sent = [d for d in host.pull() if d.verb is Verb.SEND and d.request == t]
         for d in sent:
             host.end(t, Outcome.MISS, executor=d.executor, took=2.0, warmth=Warmth.UNTOLD)
     found += [d for d in host.pull() if d.verb is Verb.ORDER]
@@ -458,7 +458,7 @@
         host.take(7)
     for d in host.pull():
         if d.verb is Verb.SEND:
-            host.end(d.trigger, Outcome.MISS, executor=d.executor, took=2.0, warmth=Warmth.UNTOLD)
+            host.end(d.request, Outcome.MISS, executor=d.executor, took=2.0, warmth=Warmth.UNTOLD)
     assert host.pull() == []
     e, f = orders_of(host)[0]
     host.fe.order_answered(host.now, e, f, Outcome.FULFILLED, 1, 500.0)
@@ -497,14 +497,14 @@
 
     host = failing(True)
     e = host.fe.executors[0]
-    t = host.fe.triggers[host.take()]
+    t = host.fe.requests[host.take()]
     assert host.fe.choose(t, host.now).listing.executor == 1
     host.fe.executors[1].limit = 0.0  # nobody else has room: still not there
     assert host.fe.choose(t, host.now) is None
     t.kind = 1  # another tariff may
     assert host.fe.choose(t, host.now) is e
     host.now += 4000.0  # and in time it is tried again
-    t = host.fe.triggers[host.take()]
+    t = host.fe.requests[host.take()]
     assert host.fe.choose(t, host.now) is e
     # what nobody ever served fails anywhere: bad clients must not shut executors off
     host = failing(False)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -139,7 +139,7 @@
         assert [ids.index(a.copy) for a in acts if a.do is Do.END_COPY] == going, seen
         assert any(a.do is Do.DROP_LOAD for a in acts) == load_goes
         ended = {s for s, o, _ in rig.ends if o == ERROR}
-        assert len(ended) == sum(works[i] for i in going)  # its triggers may have run
+        assert len(ended) == sum(works[i] for i in going)  # its requests may have run
         assert ((waiting, FULL, UNTOLD) in rig.ends) == load_goes
 
 
@@ -313,7 +313,7 @@
         assert sum(held.values()) <= 1000.0 + 1e-6 and abs(budget.used_mb() - sum(held.values())) < 1e-6
 
 
-def test_random_days_end_each_trigger_once():
+def test_random_days_end_each_request_once():
     for seed in range(60):
         chance = random.Random(seed)
         rig = Rig(
--- a/tests/test_forward_clock.py
+++ b/tests/test_forward_clock.py
@@ -43,12 +43,12 @@
         host.forward(draw.choice((0.0, 2.0, 10.0)))
         for decision in decided(host):
             if decision.verb is Verb.SEND:
-                trigger = host.fe.triggers[decision.trigger]
-                out.append((decision.trigger, trigger.sent - 1, decision.executor))
+                request = host.fe.requests[decision.request]
+                out.append((decision.request, request.sent - 1, decision.executor))
             elif decision.verb in (Verb.NACK, Verb.BREAK_OFF):
-                answered.setdefault(decision.trigger, host.real_ms)
+                answered.setdefault(decision.request, host.real_ms)
             elif decision.verb is Verb.WITHDRAW:
-                ended = next(o for o in out if o[:2] == (decision.trigger, decision.number))
+                ended = next(o for o in out if o[:2] == (decision.request, decision.number))
                 out.remove(ended)
                 host.end(*ended[:1], Outcome.WITHDRAWN, *ended[1:])
             elif decision.verb is Verb.ORDER:
@@ -56,13 +56,13 @@
                     host.now, decision.executor, decision.function, Outcome.FULFILLED, 1, 100.0
                 )
         if out and draw.random() < 0.6:
-            trigger, number, executor = out.pop(draw.randrange(len(out)))
+            request, number, executor = out.pop(draw.randrange(len(out)))
             outcome = draw.choice((Outcome.FULFILLED, Outcome.FULFILLED, Outcome.ERROR, Outcome.RESET))
-            host.end(trigger, outcome, number, executor, 50.0, Warmth.FOUND)
+            host.end(request, outcome, number, executor, 50.0, Warmth.FOUND)
             if outcome is Outcome.FULFILLED:
-                answered.setdefault(trigger, host.real_ms)
-        for trigger, at in due.items():
-            assert answered.get(trigger, host.real_ms) <= at, trigger
+                answered.setdefault(request, host.real_ms)
+        for request, at in due.items():
+            assert answered.get(request, host.real_ms) <= at, request
     assert len(answered) > 500
 
 
@@ -78,12 +78,12 @@
 
 def test_a_window_against_repeats_is_not_opened_by_a_step_back():
     host = Host(2, Effect.STAMPED)
-    trigger = host.take(remaining=20_000.0)
+    request = host.take(remaining=20_000.0)
     assert "SEND" in verbs(host.pull())
     host.pull(3_900.0)  # the window is 4 s
     host.now -= 3_600_000.0
     host.pull(200.0)
-    host.end(trigger, Outcome.RESET, executor=0)
+    host.end(request, Outcome.RESET, executor=0)
     assert "SEND" not in verbs(host.pull(500.0))
 
 
@@ -99,11 +99,11 @@
 def test_what_ends_within_a_turn_is_no_step_back():
     """Danger: a turn's own reading, older by a moment, passed for a step, and a second was taken from all."""
     host = Host(2)
-    trigger = host.take(remaining=1500.0)
+    request = host.take(remaining=1500.0)
     assert "SEND" in verbs(host.pull())
     turn = host.now
     host.now += 3.0
-    host.end(trigger, Outcome.RESET, executor=0)
+    host.end(request, Outcome.RESET, executor=0)
     assert host.fe.decide(turn).verb is Verb.SEND
     assert host.fe.clock.enter(host.now) == host.now
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -119,7 +119,7 @@
     assert rig.kinds(serial) == ["fulfilled"] and rig.answers[serial][0].body == b"done"
     assert rig.answers[serial][0].executor == f"e{executor}"
     rig.step(20.0)
-    assert rig.host.taken == {} and rig.host.owed == 0 and rig.host.triggers.index == {}
+    assert rig.host.taken == {} and rig.host.owed == 0 and rig.host.requests.index == {}
 
 
 def test_one_answer_however_they_race():
@@ -190,7 +190,7 @@
         for e, serial, number, _ in out + rig.sent():
             rig.end(e, serial, 0, number)
         rig.step(50.0)
-        assert rig.host.taken == {} and rig.host.triggers.index == {}, seed
+        assert rig.host.taken == {} and rig.host.requests.index == {}, seed
 
 
 def test_miss_order_and_send_again():
@@ -265,7 +265,7 @@
         self.functions[function].memory_sick = stable == "sick"
 
 
-def test_a_decision_that_fails_ends_its_trigger_only():
+def test_a_decision_that_fails_ends_its_request_only():
     rig = Rig(kind=Sick)
     sick, _ = rig.take(function=F._replace(name="sick"))
     well, _ = rig.take()
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -147,7 +147,7 @@
     assert rig.response()[0] == 413 and rig.pipe.closed and not rig.taken
 
 
-def test_bounds_on_triggers_and_connections():
+def test_bounds_on_requests_and_connections():
     rig = Rig(open_bound=2, connections_bound=2)
     rig.owed = 2
     status, headers, _ = rig.event()
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -71,7 +71,7 @@
         assert abs(found["latency_ms"][f"p{q}"] - true) <= 0.05 * true + 2.0
 
 
-def test_a_stall_shows_as_long_latencies_not_as_fewer_triggers():
+def test_a_stall_shows_as_long_latencies_not_as_fewer_requests():
     """Danger: coordinated omission."""
     found = Rig([Due(10.0 * i, "f", 1.0) for i in range(600)], stall=(2.0, 4.0)).run()
     assert found["ended"] == {"fulfilled": 600} and len(found["by_second"]) == 6
--- a/tests/test_node_links.py
+++ b/tests/test_node_links.py
@@ -164,7 +164,7 @@
 
 
 def test_a_late_never_ran_of_the_first_does_not_end_the_second():
-    """Danger: both transmissions of one trigger carry its id."""
+    """Danger: both transmissions of one request carry its id."""
     rig = Rig(room=1)
     wire, pipe = rig.up()
     rig.send(5, 0)
@@ -268,7 +268,7 @@
     assert rig.link.order(7, FUNCTION, 2, 0.0, 0) is None
     ((code, own, fields, _),) = commands(pipe.take())
     assert (code, fields) == (14, {"key": FUNCTION, "count": "2"})
-    rig.send(1, id=own)  # a trigger whose id meets the order's open id goes elsewhere
+    rig.send(1, id=own)  # a request whose id meets the order's open id goes elsewhere
     assert pipe.take() == b""
     wire.dataReceived(answer(100, own, b"count=2"))
     assert rig.ears.orders == [(7, Outcome.FULFILLED, 2)] and rig.ended() == []
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -82,7 +82,7 @@
         return found
 
     def serve(self):
-        """Executors answer all at once: orders stand, triggers are fulfilled."""
+        """Executors answer all at once: orders stand, requests are fulfilled."""
         for wire, (code, id, _, body) in self.sent():
             if code in (10, 14):
                 wire.dataReceived(answer(100, id, b"how=resident" if code == 10 else b"count=1", body))
@@ -272,11 +272,11 @@
             host.links,
             host.known,
             host.orders,
-            host.triggers.index,
+            host.requests.index,
             host.executors.index,
             host.functions.index,
         ),
-        "module": (fe.triggers, fe.executors, fe.functions, fe.ready, fe.attention, fe.wanted),
+        "module": (fe.requests, fe.executors, fe.functions, fe.ready, fe.attention, fe.wanted),
         "links": [link.where for link in host.links.values()],
     }
     return {name: [len(t) for t in some] for name, some in tables.items()}
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Terms that all change or none: words, the keepers' log, what a member may take triggers under, the file;
+"""Terms that all change or none: words, the keepers' log, what a member may take requests under, the file;
 drawn plays and every schedule of one trouble, with mutants of the code that have to be found."""
 
 import json
@@ -344,7 +344,7 @@
 
 
 @pytest.mark.parametrize("name", LIVES)
-def test_what_a_member_may_take_triggers_under(name):
+def test_what_a_member_may_take_requests_under(name):
     happens, at, version, state = LIVES[name]
     a = member()
     for now, word in happens:
--- a/tests/test_policy_process.py
+++ b/tests/test_policy_process.py
@@ -1,5 +1,5 @@
 """Nine processes of the program, three of them keepers, with faults between them while terms are changed;
-judged from the records: which trigger was taken under which version, and when. Order, counts and generous
+judged from the records: which request was taken under which version, and when. Order, counts and generous
 bounds, never speed."""
 
 import json
@@ -305,7 +305,7 @@
 
 
 def test_one_stopped_before_the_moment_takes_nothing_under_the_old_terms_after_it(fleet):
-    """With triggers in its socket."""
+    """With requests in its socket."""
     version = fleet.version()
     process = fleet.apply(9.0)
     fleet.promised(5)
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -111,7 +111,7 @@
             fe.known.add(function)
             fe.function_named(self.now, function, f"f{function}", 100.0, 4, 300.0)
         fe.asked_by += 1
-        fe.trigger_taken(self.now, fe.asked_by, 0, 0, function, 4000.0, WORK_MS, False)
+        fe.request_taken(self.now, fe.asked_by, 0, 0, function, 4000.0, WORK_MS, False)
         self.pull(i)
 
     def pull(self, i):
@@ -122,8 +122,8 @@
             elif d.verb is Verb.SEND:
                 if d.executor in self.at:
                     self.at[d.executor].append(self.now)
-                t = fe.triggers[d.trigger]
-                self.after(self.chance.uniform(40.0, 160.0), self.end, i, fe, d.trigger, t.sent - 1)
+                t = fe.requests[d.request]
+                self.after(self.chance.uniform(40.0, 160.0), self.end, i, fe, d.request, t.sent - 1)
         fe.released()
 
     def wake(self, i, fe):
@@ -131,13 +131,13 @@
             fe.time_passed(self.now)
             self.pull(i)
 
-    def end(self, i, fe, trigger, number):
-        if self.fronts[i] is not fe or trigger not in fe.triggers:
+    def end(self, i, fe, request, number):
+        if self.fronts[i] is not fe or request not in fe.requests:
             return
         failed = self.chance.random() < self.failing
         fe.transmission_ended(
             self.now,
-            trigger,
+            request,
             number,
             Outcome.ERROR if failed else Outcome.FULFILLED,
             WORK_MS,
--- a/tests/test_ranking_front_end.py
+++ b/tests/test_ranking_front_end.py
@@ -87,7 +87,7 @@
             self.host.fe.function_named(self.host.now, function, f"function-{function}", 100.0, 2, 500.0)
         self.host.serial += 1
         request = self.host.serial
-        self.host.fe.trigger_taken(self.host.now, request, 0, 0, function, 4000.0, 100.0, False)
+        self.host.fe.request_taken(self.host.now, request, 0, 0, function, 4000.0, 100.0, False)
         self.taken.append(request)
 
     def pull(self, forward):
@@ -105,11 +105,11 @@
     def note(self, d):
         if d.verb is Verb.SEND:
             assert self.host.fe.executors[d.executor].listing.stage is Stage.READY
-            assert self.finals[d.trigger] == 0
-            self.out.append((d.trigger, self.numbers[d.trigger], d.executor))
-            self.numbers[d.trigger] += 1
+            assert self.finals[d.request] == 0
+            self.out.append((d.request, self.numbers[d.request], d.executor))
+            self.numbers[d.request] += 1
         elif d.verb in (Verb.NACK, Verb.BREAK_OFF):
-            self.finals[d.trigger] += 1
+            self.finals[d.request] += 1
 
     def end_some(self, most, silent=frozenset()):
         """Attempts end, well or badly; those at silent executors do not."""
@@ -183,7 +183,7 @@
         check_orders(host)
         one.finish()
         assert [one.finals[request] for request in one.taken] == [1] * len(one.taken)
-        assert host.fe.triggers == {}
+        assert host.fe.requests == {}
     # with the same list all agree again, whatever each heard before
     functions = [[f.salt for f in host.fe.functions.values()] for host in hosts]
     shared = set(functions[0]).intersection(*functions[1:])
@@ -440,7 +440,7 @@
         host.take(0 if step % 10 else step)
     f = host.fe.functions[0]
     assert WINDOW < host.fe.homes(f, host.now) <= 3 * EXECUTORS
-    chosen = {host.fe.choose(host.fe.triggers[host.take(0)], host.now).listing.executor for _ in range(800)}
+    chosen = {host.fe.choose(host.fe.requests[host.take(0)], host.now).listing.executor for _ in range(800)}
     assert len(chosen) > WINDOW
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -30,11 +30,11 @@
             host.end(t, FULFILLED)
             host.fe.client_gone(host.now, t)
             assert host.pull(5000.0) == []
-        assert host.fe.triggers == {}
+        assert host.fe.requests == {}
     host = Host(0)
     host.take(remaining=500.0)
     host.pull(480.0)
-    assert host.now < 100_500.0 and len(host.fe.triggers) == 1  # held, not yet due
+    assert host.now < 100_500.0 and len(host.fe.requests) == 1  # held, not yet due
     assert verbs(host.pull(16.0)) == ["NACK"]
 
 
@@ -126,7 +126,7 @@
 
 
 def test_a_cold_executor_and_hundreds_of_front_ends():
-    """Danger: each front end's share is a fraction of one trigger, and all round it up at once."""
+    """Danger: each front end's share is a fraction of one request, and all round it up at once."""
     sends = 0
     for seed in range(200):
         host = Host(2, started={0: 100_000.0, 1: 100_000.0}, peers=200, seed=seed)
@@ -137,7 +137,7 @@
 
 
 def test_what_was_out_together_binds():
-    """Danger: a stamped trigger waits for a load, which fails: it never ran, but binds what was beside it."""
+    """Danger: a stamped request waits for a load, which fails: it never ran, but binds what was beside it."""
     host = Host(8, Effect.STAMPED, Scope.HALL)
     for e in range(8):
         host.teach(e)
@@ -152,7 +152,7 @@
 
 
 def test_the_gate_itself():
-    # what is changed before the gate is asked for a further send of a harmless trigger, does it pass
+    # what is changed before the gate is asked for a further send of a harmless request, does it pass
     table = [
         ({}, Stage.READY, True, True),
         ({"answered": True}, Stage.READY, True, False),
@@ -164,7 +164,7 @@
     ]
     for changes, stage, seconds, expected in table:
         host = Host(2, seconds=seconds)
-        t = host.fe.triggers[host.take()]
+        t = host.fe.requests[host.take()]
         first = host.pull()[0].executor
         for name, value in changes.items():
             setattr(t, name, value)
@@ -216,15 +216,15 @@
         for e in host.fe.ready:
             e.weigh(1, 0.5)
         began = host.now
-        host.fe.trigger_taken(began, 99, 0, 0, 0, 4000.0, size, repeat)
+        host.fe.request_taken(began, 99, 0, 0, 0, 4000.0, size, repeat)
         found = host.pull(latest)
-        assert [(d.verb, d.trigger) for d in found] == [(Verb.NACK, 99)], (size, repeat, found)
+        assert [(d.verb, d.request) for d in found] == [(Verb.NACK, 99)], (size, repeat, found)
         assert found[0].ms == min(500.0, host.fe.mean_ms)
         assert host.pull(4000.0) == []
 
 
 def test_no_wait_goes_on_to_the_outer_limit():
-    """Danger: a load that hangs, or a list that stays empty: a trigger with nothing sent is nacked only when
+    """Danger: a load that hangs, or a list that stays empty: a request with nothing sent is nacked only when
     its client's time is up."""
     # the client's time, when the answer comes: half of it, but never before the quoted time (1,000 ms)
     for stay in ("empty list", "load"):
@@ -240,7 +240,7 @@
                 host.fe.seconds = 0.0
             began, t = host.now, host.take(remaining=remaining)
             assert host.pull(expected - LOOK_AGAIN_MS - 1.0) == [], (stay, remaining)
-            found = [d for d in host.pull(LOOK_AGAIN_MS + 1.0) if d.trigger == t]
+            found = [d for d in host.pull(LOOK_AGAIN_MS + 1.0) if d.request == t]
             assert verbs(found) == ["NACK"] and host.now <= began + expected, (stay, remaining)
             assert found[0].ms > 0.0
 
@@ -261,7 +261,7 @@
 
 
 def cold_sends(share):
-    """How many triggers a cold executor gets in a span from a front end that has no history."""
+    """How many requests a cold executor gets in a span from a front end that has no history."""
     host = Host(1, rate=50.0, peers=10, started={0: START})
     if share is not None:
         host.fe.part_told(START, Part(share, 1e9))
@@ -276,7 +276,7 @@
 
 
 def waiting(**more):
-    """A host of two executors with one transmission decided that waits for its connection: trigger, where."""
+    """A host of two executors with one transmission decided that waits for its connection: request, where."""
     host = Host(2, **more)
     t = host.take()
     (sent,) = [d for d in host.pull() if d.verb is Verb.SEND]
@@ -299,13 +299,13 @@
     host, t, executor = waiting()  # rule 3
     host.only(1 - executor)
     assert not host.fe.may_go(host.now, t, 0)
-    assert len(host.fe.triggers[t].out) == host.fe.triggers[t].sent == 1  # asking changes nothing
+    assert len(host.fe.requests[t].out) == host.fe.requests[t].sent == 1  # asking changes nothing
 
     for late_ms, may in ((3800.0, True), (3990.0, False)):  # rule 2: the window of 4,000 ms
         host, t, executor = waiting(effect=Effect.STAMPED, sends=5)
         host.end(t, Outcome.RESET, executor=executor)
         (again,) = [d for d in host.pull() if d.verb is Verb.SEND]
-        host.fe.triggers[t].answer_by += 9000.0  # a client that waits longer than the window
+        host.fe.requests[t].answer_by += 9000.0  # a client that waits longer than the window
         host.now += late_ms
         assert again.executor != executor and host.fe.may_go(host.now, t, 1) is may, late_ms
 
@@ -316,7 +316,7 @@
     sent = []
     while host.now < START + 4000.0:
         host.take(remaining=9000.0)
-        sent += [d.trigger for d in host.pull(10.0) if d.verb is Verb.SEND]
+        sent += [d.request for d in host.pull(10.0) if d.verb is Verb.SEND]
     e = host.fe.executors[0]
     decided = list(e.cold_sends)
     assert len(decided) > 10 and max(decided) - min(decided) > 2 * 1500.0
@@ -333,7 +333,7 @@
         sent = []
         while not sent and host.now < START + 9000.0:
             host.take(remaining=9000.0)
-            sent = [d.trigger for d in host.pull(50.0) if d.verb is Verb.SEND]
+            sent = [d.request for d in host.pull(50.0) if d.verb is Verb.SEND]
         if sent:
             e = host.fe.executors[0]
             while len(e.cold_sends) > 1:  # but for its own place
--- a/tests/test_rules_checker.py
+++ b/tests/test_rules_checker.py
@@ -102,7 +102,7 @@
 
 
 def push(count, told_first=True, at=10_200.0, fronts=1):
-    """`count` triggers to a cold executor within 300 ms: room for 4 x 1 core x 1000 ms, 40 triggers."""
+    """`count` requests to a cold executor within 300 ms: room for 4 x 1 core x 1000 ms, 40 requests."""
     lines = [COLD] + [told(10_100 if told_first else 19_000, BORN, fe=f"f{f}") for f in range(fronts)]
     for i in range(count):
         t, fe = at + i * 300.0 / count, f"f{i % fronts}"
@@ -114,9 +114,9 @@
     return lines
 
 
-def orders(count, triggers, gap=100.0):
+def orders(count, requests, gap=100.0):
     lines = [order(1000 + i * gap) for i in range(count)]
-    for i in range(triggers):
+    for i in range(requests):
         lines += [ask(900 + i, f"o{i}"), end(1500 + i, id=f"o{i}")]
     return lines
 
--- a/tests/test_scale_front_end.py
+++ b/tests/test_scale_front_end.py
@@ -148,8 +148,8 @@
     assert len(host.fe.due) > calls  # the deadlines are still to come: this counts something
     host.pull(QUIET_MS)
     front_end = host.fe
-    assert len(front_end.released().triggers) == calls
-    assert not front_end.triggers and not front_end.attention and not front_end.gate.taken
+    assert len(front_end.released().requests) == calls
+    assert not front_end.requests and not front_end.attention and not front_end.gate.taken
     assert not any(executor.out for executor in front_end.executors.values())
     assert len(front_end.due) == 1  # the tidying
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -124,7 +124,7 @@
     return int(data.split()[1])
 
 
-def test_one_trigger_through_the_whole_way(running):
+def test_one_request_through_the_whole_way(running):
     _, peer, port, _ = running
     client = post(port)
     sent = peer.hear("sent")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -73,7 +73,7 @@
         (pb.FromFront(send=pb.Send(mark="x" * 600)).SerializeToString(), codec.from_front, "600 characters"),
         (pb.FromFront(send=pb.Send(memory_mb=float("nan"))).SerializeToString(), codec.from_front, "finite"),
         (pb.FromFront(send=pb.Send(remaining_ms=-1.0)).SerializeToString(), codec.from_front, "0 or more"),
-        # danger: an executor's word for "it never left the front end" would free a one-shot trigger
+        # danger: an executor's word for "it never left the front end" would free a one-shot request
         (pb.FromExecutor(ended=pb.Ended(outcome=4)).SerializeToString(), codec.from_executor, "may not say"),
         (pb.FromExecutor(ended=pb.Ended(outcome=7)).SerializeToString(), codec.from_executor, "may not say"),
         (pb.FromExecutor(ended=pb.Ended(warmth=5)).SerializeToString(), codec.from_executor, "warmth 5"),
