--- a/benchmarks/capacity_front_end_calls.py
+++ b/benchmarks/capacity_front_end_calls.py
@@ -183,7 +183,7 @@
         self.later(now_ms + took_ms, self.end, request, number, took_ms, warmth)
 
     def end(self, request: int, number: int, took_ms: float, warmth: Warmth) -> None:
-        ended = self.front_end.transmission_ended
+        ended = self.front_end.attempt_ended
         self.input(Work.CALLS, ended, request, number, Outcome.FULFILLED, took_ms, True, warmth)
         for released in self.rig.released.requests:
             self.attempts.pop(released, None)
--- a/benchmarks/capacity_front_end_rig.py
+++ b/benchmarks/capacity_front_end_rig.py
@@ -146,7 +146,7 @@
     def serve_last(self, took_ms: float = 1.0) -> None:
         """The last request's first attempt is served."""
         self.now_ms += took_ms
-        self.front_end.transmission_ended(
+        self.front_end.attempt_ended(
             self.now_ms, self.requests - 1, 0, Outcome.FULFILLED, took_ms, True, Warmth.FOUND
         )
         self.turn()
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -48,7 +48,7 @@
         self.count = executors
         self.events: list[tuple] = []
         self.order = 0
-        self.first: list[int] = []  # executor of each request's first transmission
+        self.first: list[int] = []  # executor of each request's first attempt
         self.sent: dict[int, int] = {}
         self.speed = [self.chance.uniform(0.7, 1.6) for _ in range(executors)]
         self.has: list[dict[int, float]] = [{} for _ in range(executors)]
@@ -113,9 +113,7 @@
         self.call("time_passed", self.now)
 
     def end(self, t: int, number: int, sent_ms: float, warmth: Warmth) -> None:
-        self.call(
-            "transmission_ended", self.now, t, number, Outcome.FULFILLED, self.now - sent_ms, True, warmth
-        )
+        self.call("attempt_ended", self.now, t, number, Outcome.FULFILLED, self.now - sent_ms, True, warmth)
 
     def pull(self) -> None:
         while (d := self.call("decide", self.now)) is not None:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -205,7 +205,7 @@
 
 
 class NoSecond(FrontEnd):
-    """No further transmissions while answers are slow."""
+    """No further attempts while answers are slow."""
 
     def _second(self, t, now):
         if self.mean_ms > 2.5 * self.quick_ms:
@@ -263,7 +263,7 @@
 
 
 def amplified(word: str, retries: int, seed: int, fronts: int, executors: int) -> dict:
-    """What adds up: tries, transmissions and work for each request that a client sends for the first time."""
+    """What adds up: tries, attempts and work for each request that a client sends for the first time."""
     load, troubles = AMPLIFIED[word]
     found = day("busy", seed, fronts, executors)
     found["traffic"].update(rate=load * executors * 7.6 / 0.25, retries=retries)
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -16,7 +16,7 @@
 from collections import Counter, deque
 from collections.abc import Iterable
 
-from .choice_state import Deadlines, Executor, Fleet, FrontEndState, FunctionState, Transmission, Request
+from .choice_state import Deadlines, Executor, Fleet, FrontEndState, FunctionState, Attempt, Request
 from .forward_clock import ForwardClock
 from .hash_ring import RingWindow
 from .interface import (
@@ -50,10 +50,10 @@
 UNHEARD_SIZE_MS = 200.0  # size of a request before any answer or hint
 UNHEARD_LOAD_MS = 1000.0  # time of a load before one was seen
 LOAD_GAIN = 0.3  # weight of one load in its function's load time
-OVERDUE_FACTOR = 4.0  # a transmission is overdue past this times its expected time ...
+OVERDUE_FACTOR = 4.0  # a attempt is overdue past this times its expected time ...
 OVERDUE_SLACK_MS = 60.0  # ... plus this, or while another one could still be in time ...
 OVERDUE_LEAST = 2.0  # ... but not before this times its expected time
-SECOND_SHARE = 0.1  # further transmissions earned per request taken: they cannot feed an overload
+SECOND_SHARE = 0.1  # further attempts earned per request taken: they cannot feed an overload
 SECOND_SAVED = 15.0  # most of them saved up
 FAILED = 1.7  # a failure makes a pace this many times slower
 AILING_PACE = 8.0  # times its kind's usual pace: as slow as any evidence makes an executor
@@ -114,7 +114,7 @@
 
 
 class Gate:
-    """The five rules, at the one place that every transmission, order and final answer passes."""
+    """The five rules, at the one place that every attempt, order and final answer passes."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
         self.taken, self.ordered = deque[float](), deque[float]()
 
     def send(self, t: Request, e: Executor, listed: int, now: float) -> bool:
-        if t.answered or now >= t.answer_by or t.sent >= t.permits.transmissions:  # rule 1
+        if t.answered or now >= t.answer_by or t.sent >= t.permits.attempts:  # rule 1
             return False
         if t.out and not t.permits.second_copies:
             return False
@@ -148,7 +148,7 @@
         tariff = t.tariff
         if tariff.effect is not Effect.STAMPED:
             return tariff.effect is Effect.HARMLESS
-        for hall, cell, sent_ms in (*t.ran, *map(Transmission.run, t.out.values())):
+        for hall, cell, sent_ms in (*t.ran, *map(Attempt.run, t.out.values())):
             if now > sent_ms + tariff.window_ms - WINDOW_EARLY_MS:
                 return False
             scope = tariff.scope
@@ -313,7 +313,7 @@
         self.attention.append(request)
         heapq.heappush(self.due, (t.answer_by, request))
 
-    def transmission_ended(
+    def attempt_ended(
         self,
         now: float,
         request: int,
@@ -344,7 +344,7 @@
         self.attention.append(request)
 
     def _learn(
-        self, now: float, t: Request, sent: Transmission, outcome: Outcome, took_ms: float, warmth: Warmth
+        self, now: float, t: Request, sent: Attempt, outcome: Outcome, took_ms: float, warmth: Warmth
     ) -> None:
         e, f = sent.executor, t.function
         # danger: one that fails fast always has a free lane, and may fail one tariff only: the answers to the
@@ -559,12 +559,12 @@
     def _for_request(self, t: Request, now: float) -> Decision | None:
         if t.answered:
             return self._withdraw(t)
-        if now >= t.answer_by or not t.out and t.sent >= t.permits.transmissions:
+        if now >= t.answer_by or not t.out and t.sent >= t.permits.attempts:
             return self._give_up(t)
         return self._second(t, now) if t.out else self._place(t, now)
 
     def _withdraw(self, t: Request) -> Decision | None:
-        """Nobody waits for these transmissions any more: spare the executors the work."""
+        """Nobody waits for these attempts any more: spare the executors the work."""
         t.function.held.pop(t.index, None)
         for sent in t.out.values():
             if not sent.withdrawn and t.permits.withdraw:
@@ -695,8 +695,8 @@
         if skilled:  # while another one could still be in time
             due_ms = min(due_ms, max(now + OVERDUE_LEAST * expected, t.quoted_by - 1.5 * expected))
         # danger: a stamped one that waits for a load may end as never run, and still binds what is beside it
-        t.ran.extend(map(Transmission.run, t.out.values()))
-        sent = Transmission(t.sent, e, f, now, due_ms)
+        t.ran.extend(map(Attempt.run, t.out.values()))
+        sent = Attempt(t.sent, e, f, now, due_ms)
         t.out[t.sent] = e.out[(t.index, t.sent)] = sent
         self.out += 1
         t.sent += 1
@@ -712,7 +712,7 @@
         return Decision(Verb.SEND, t.index, e.listing.executor)
 
     def _second(self, t: Request, now: float) -> Decision | None:
-        """A further transmission beside one that is overdue, if the budget has one."""
+        """A further attempt beside one that is overdue, if the budget has one."""
         for latest in t.out.values():
             if now >= latest.due_ms and not latest.overdue:
                 latest.overdue = True
--- a/petrelway/choice_state.py
+++ b/petrelway/choice_state.py
@@ -1,4 +1,4 @@
-"""What one front end remembers: its requests, their transmissions, the executors and the functions.
+"""What one front end remembers: its requests, their attempts, the executors and the functions.
 
 The types here keep facts and sums over them. They decide nothing and hold no tuned value: `choice.py` does
 both, and hands in what it computed from its tuned values (limits, times, first guesses). Only `choice.py`
@@ -31,8 +31,8 @@
     sent_ms: float
 
 
-class Transmission:
-    """One transmission that is out."""
+class Attempt:
+    """One attempt that is out."""
 
     def __init__(
         self, number: int, executor: Executor, function: FunctionState, sent_ms: float, due_ms: float
@@ -61,7 +61,7 @@
 
 
 class Request:
-    """One request, from the taking to the end of its last transmission."""
+    """One request, from the taking to the end of its last attempt."""
 
     def __init__(
         self,
@@ -91,9 +91,9 @@
         self.patient_until = deadlines.patient_until
         self.repeat = repeat
         self.luck = luck  # its draw where a budget is a fraction of one request
-        self.out: dict[int, Transmission] = {}
+        self.out: dict[int, Attempt] = {}
         self.sent = 0
-        self.ran: list[Run] = []  # ended transmissions that may have run
+        self.ran: list[Run] = []  # ended attempts that may have run
         self.answered = False  # no answer is owed any more
         self.tried: set[int] = set()  # executors that failed it
         self.missed: set[int] = set()  # and those that lacked its function
@@ -111,7 +111,7 @@
         self.told_ms = now  # when the present stage was first told
         self.stable = listing.stable
         self.salt = salt_of(self.stable)
-        self.out: dict[tuple[int, int], Transmission] = {}
+        self.out: dict[tuple[int, int], Attempt] = {}
         self.busy = 0  # those of them that do not wait for a load
         self.restart(limit)
 
@@ -219,7 +219,7 @@
         self.kind_pace: dict[int, float] = {}  # machine kind -> its usual pace
         self.functions: dict[int, FunctionState] = {}
         self.requests: dict[int, Request] = {}
-        self.out = 0  # transmissions that are out and not overdue
+        self.out = 0  # attempts that are out and not overdue
         self.attention: deque[int] = deque()  # requests to look at now
         self.at = -1  # the request that decide is at
         self.due: list[tuple[float, int]] = []  # when to look at a request; -1: tidy up
--- a/petrelway/drill/codec.py
+++ b/petrelway/drill/codec.py
@@ -63,7 +63,7 @@
             rid, number, _, code, delay, finished, remark = (item[2:] + [None])[:7]
             request, remark = self.requests.index.get(rid), remark or 0
             if request is not None:
-                front_end.transmission_ended(
+                front_end.attempt_ended(
                     now,
                     request,
                     number,
--- a/petrelway/emulator/links.py
+++ b/petrelway/emulator/links.py
@@ -327,7 +327,7 @@
             del self.out[key]
             if self.backoff is not None:
                 self.backoff.succeeded()
-            self.listener.transmission_ended(
+            self.listener.attempt_ended(
                 self.executor, key, Outcome(outcome), warmth, 0, NO_LOAD, "application/json", b""
             )
 
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -69,7 +69,7 @@
 
 
 class Out:
-    """One transmission that is out."""
+    """One attempt that is out."""
 
     def __init__(self, executor: int, sent_ms: float) -> None:
         self.executor, self.sent_ms = executor, sent_ms
@@ -295,7 +295,7 @@
         elif started_ms > known.listing.started_ms:
             self.watch.changed(now, "executor restarted", line.executor)
 
-    def transmission_ended(
+    def attempt_ended(
         self,
         executor: int,
         key: Key,
@@ -324,13 +324,13 @@
             name = self.executors.wire[executor]
             hall = self.halls.wire.get(self.front_end.executors[executor].listing.hall, "")
             self.watch.ended(now, serial, name, hall, outcome.label, Warmth(warmth).label)
-        self.front_end.transmission_ended(
+        self.front_end.attempt_ended(
             now, index, number, outcome, now - out.sent_ms, t.answer is None, Warmth(warmth)
         )
         self._soon()
 
     def left_ms(self, key: Key) -> float:
-        """Of a transmission that waited for its connection: the client's time left, 0 if it must not go."""
+        """Of a attempt that waited for its connection: the client's time left, 0 if it must not go."""
         serial, number = key
         index = self.requests.index.get(serial, -1)
         t, now = self.taken.get(index), self.now()
@@ -495,7 +495,7 @@
         remaining_ms = t.outer_ms - now
         key, f = (t.serial, number), t.function
         if remaining_ms <= 0.0 or t.answer is None:
-            self.transmission_ended(executor, key, Outcome.UNSENT, 0, 0, codec.Load(), "", b"")
+            self.attempt_ended(executor, key, Outcome.UNSENT, 0, 0, codec.Load(), "", b"")
             return
         wait_ms = min(limit_ms, remaining_ms) if limit_ms > 0.0 else remaining_ms
         out.timer = self.clock.callLater(wait_ms / 1e3, self._time_out, t, number)
@@ -523,9 +523,7 @@
             return
         link = self.links.get(out.executor)
         ended = link.withdraw((t.serial, number), outcome) if link is not None else None
-        self.transmission_ended(
-            out.executor, (t.serial, number), ended or outcome, 0, 0, codec.Load(), "", b""
-        )
+        self.attempt_ended(out.executor, (t.serial, number), ended or outcome, 0, 0, codec.Load(), "", b"")
 
     def _order(self, executor: int, function: int, copies: int, now: float) -> None:
         self.order_id += 1
--- a/petrelway/front/link_base.py
+++ b/petrelway/front/link_base.py
@@ -22,7 +22,7 @@
 class LinkListener(Protocol):
     """What a link tells its host. Times in ms."""
 
-    def transmission_ended(
+    def attempt_ended(
         self,
         executor: int,
         key: Key,
@@ -35,7 +35,7 @@
     ) -> None: ...
 
     def left_ms(self, key: Key) -> float:
-        """Of a transmission that waited here: the client's time left, 0 if it must not go out any more."""
+        """Of a attempt that waited here: the client's time left, 0 if it must not go out any more."""
         ...
 
     def order_answered(self, executor: int, order: int, outcome: Outcome, copies: int) -> None: ...
@@ -44,7 +44,7 @@
 
 
 class Question(Enum):
-    """What else than a transmission an executor is asked."""
+    """What else than a attempt an executor is asked."""
 
     LOAD = "load"
     PROBE = "probe"
@@ -59,8 +59,8 @@
     listener: LinkListener
 
     def report_unanswered(self, key: Key, outcome: Outcome) -> None:
-        """A transmission ended without an answer."""
-        self.listener.transmission_ended(self.executor, key, outcome, 0, 0, NO_LOAD, "", b"")
+        """A attempt ended without an answer."""
+        self.listener.attempt_ended(self.executor, key, outcome, 0, 0, NO_LOAD, "", b"")
 
     def report_reset(self, questions: Iterable[tuple[int, Question]]) -> None:
         """The connection broke under these questions, by their ids."""
--- a/petrelway/front/links.py
+++ b/petrelway/front/links.py
@@ -1,4 +1,4 @@
-"""Links to executors: one TCP connection each, many transmissions at a time.
+"""Links to executors: one TCP connection each, many attempts at a time.
 
 A link connects as soon as the roster names its executor and again, with backoff, whenever it broke. What it
 tells the host is exact: see proof.py. The clock, the connector and the chance are handed in.
@@ -22,7 +22,7 @@
 from .proof import Key, Ledger
 
 CONNECT_TIMEOUT_MS = 250.0  # a connection that is not up by then counts as unreachable
-WAITING_BOUND = 512  # transmissions that wait at one link for a connection or for room
+WAITING_BOUND = 512  # attempts that wait at one link for a connection or for room
 GREETING_MS = 2000.0  # an executor that accepts and says nothing for so long is no executor
 RETRY_LEAST_MS, RETRY_MOST_MS = 50.0, 1000.0
 ORDERS_BOUND = 256  # orders to load and probes out at one link
@@ -120,7 +120,7 @@
         content_type: str,
         body: bytes,
     ) -> None:
-        """Hand a transmission to the executor, at once or when there is a connection with room."""
+        """Hand a attempt to the executor, at once or when there is a connection with room."""
         if self.closed or not self.ledger.wait(key):
             self.report_unanswered(key, Outcome.UNSENT)
             return
@@ -253,7 +253,7 @@
         body: bytes,
     ) -> None:
         if self.ledger.ended((serial, number)):
-            self.listener.transmission_ended(
+            self.listener.attempt_ended(
                 self.executor, (serial, number), Outcome(outcome), warmth, crowd, load, content_type, body
             )
 
--- a/petrelway/front/proof.py
+++ b/petrelway/front/proof.py
@@ -1,6 +1,6 @@
-"""What the end of a transmission proves, without I/O: the ledger of one connection's lifetime.
+"""What the end of a attempt proves, without I/O: the ledger of one connection's lifetime.
 
-Rule 2 rests on it: UNREACHABLE and UNSENT say that a transmission never ran, so they may be said only of
+Rule 2 rests on it: UNREACHABLE and UNSENT say that a attempt never ran, so they may be said only of
 one of which no byte was handed to the transport. From the hand-over on, a broken link is RESET: the
 bytes may lie in a kernel's buffer, on the way, or at the executor.
 """
@@ -11,11 +11,11 @@
 
 from ..interface import Outcome
 
-Key = tuple[int, int]  # request's serial, number of the transmission
+Key = tuple[int, int]  # request's serial, number of the attempt
 
 
 class Ledger:
-    """Transmissions of one link: waiting here, or handed over. Each key ends exactly once.
+    """Attempts of one link: waiting here, or handed over. Each key ends exactly once.
 
     >>> ledger = Ledger(bound=2)
     >>> ledger.wait((1, 0)), ledger.wait((2, 0)), ledger.wait((3, 0))
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, bound: int) -> None:
-        self.bound = bound  # transmissions that may wait here for a connection or for room in the buffer
+        self.bound = bound  # attempts that may wait here for a connection or for room in the buffer
         self.waiting: OrderedDict[Key, None] = OrderedDict()
         self.handed: dict[Key, None] = {}
 
--- a/petrelway/front/reasons.py
+++ b/petrelway/front/reasons.py
@@ -1,4 +1,4 @@
-"""The reason of a transmission in words, read from the module's state; asked only while stories are kept."""
+"""The reason of a attempt in words, read from the module's state; asked only while stories are kept."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def why_sent(fe: FrontEnd, request: int, executor_index: int, number: int) -> str:
-    """The reason of a transmission that was decided this moment, in words."""
+    """The reason of a attempt that was decided this moment, in words."""
     t, e = fe.requests[request], fe.executors[executor_index]
     f = t.function
     beside = sum(1 for n in t.out if n != number)
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -35,7 +35,7 @@
 
 
 class Outcome(IntEnum):
-    """How a transmission, an order to load or a probe ended."""
+    """How a attempt, an order to load or a probe ended."""
 
     FULFILLED = 0
     ERROR = 1
@@ -109,7 +109,7 @@
 class Decision(NamedTuple):
     """One thing to do; the fields that the verb does not need stay at their defaults.
 
-    `number` is the transmission to withdraw or the copies ordered; `ms` the retry time of a
+    `number` is the attempt to withdraw or the copies ordered; `ms` the retry time of a
     nack, the time-out of a send (0: none) or the clock time of a wake.
     """
 
@@ -161,7 +161,7 @@
 class Permits(NamedTuple):
     """What the deployment lets a front end do."""
 
-    transmissions: int
+    attempts: int
     second_copies: bool
     withdraw: bool
     probes: bool
--- a/petrelway/node/door.py
+++ b/petrelway/node/door.py
@@ -107,7 +107,7 @@
 
     def pauseProducing(self) -> None:
         """It does not read its answers. Danger: were it not read from either, its close and its `interrupt`
-        would go unheard, and further transmissions begin for nobody."""
+        would go unheard, and further attempts begin for nobody."""
         self.state.answers_unread(self.door.now())
 
     def resumeProducing(self) -> None:
--- a/petrelway/node/links.py
+++ b/petrelway/node/links.py
@@ -1,9 +1,9 @@
 """Links to executors on the platform's protocol: a pool of connections each, driven by the host.
 
 What a link tells the host is exact: each connection keeps its own ledger of what a broken link proves
-(front/proof.py). A transmission takes a connection on which nothing else is out, while there is room for
+(front/proof.py). A attempt takes a connection on which nothing else is out, while there is room for
 one, since an answer that can't be read takes all with it that shares its connection; only when descriptors
-are short do transmissions share one, up to the protocol's bound.
+are short do attempts share one, up to the protocol's bound.
 """
 
 from __future__ import annotations
@@ -131,10 +131,10 @@
         if (key := self.open.get(id)) is not None and self.ledger.ended(key):
             del self.open[id], link.where[key]
             self.used_ms = self.heard_ms
-            link.listener.transmission_ended(link.executor, key, outcome, warmth, crowd, NO_LOAD, "", body)
+            link.listener.attempt_ended(link.executor, key, outcome, warmth, crowd, NO_LOAD, "", body)
         elif (asked := self.asked.pop(id, None)) is not None and asked[1] is Question.LOAD:
             link.listener.order_answered(link.executor, asked[0], outcome, copies)
-        else:  # danger: a late word on one transmission must never end another
+        else:  # danger: a late word on one attempt must never end another
             link.room.counts["late answers" if id in self.given_up else "answers to no question"] += 1
 
     def probed(self, id: bytes, well: bool) -> None:
@@ -145,7 +145,7 @@
     # -- the link's side
 
     def rank(self) -> tuple[bool, int, float]:
-        """The least is the best for one more transmission, of those with nothing out."""
+        """The least is the best for one more attempt, of those with nothing out."""
         return not self.up, len(self.asked), -self.heard_ms
 
     def knows(self, id: bytes) -> bool:
@@ -164,7 +164,7 @@
         self.transport.write(frames.send(self.waiting.pop(key), remaining_ms))
 
     def give_up(self, id: bytes) -> None:
-        """Danger: a late word on it would be taken for one on a later transmission under the same id."""
+        """Danger: a late word on it would be taken for one on a later attempt under the same id."""
         self.given_up[id] = None
         self.spent = self.spent or len(self.given_up) >= GIVEN_UP_BOUND
 
@@ -205,7 +205,7 @@
         idle_ms: float,
         withdraws: bool,
     ) -> None:
-        """`withdraws`: whether the deployment lets a transmission be given up."""
+        """`withdraws`: whether the deployment lets a attempt be given up."""
         self.executor, self.stable, self.address, self.port = executor, stable, address, port
         self.clock, self.connect, self.chance = clock, connect, chance
         self.listener, self.log = listener, log
@@ -240,7 +240,7 @@
         content_type: str,
         body: Passed,
     ) -> None:
-        """Hand a transmission to the executor, at once or when its connection is up."""
+        """Hand a attempt to the executor, at once or when its connection is up."""
         id = body.call
         wire = None if self.closed else self._pick(id)
         if wire is None:
@@ -287,7 +287,7 @@
         return ended
 
     def _doubt(self, since_ms: float) -> None:
-        """Danger: a machine that vanished says nothing: each further transmission would wait in vain.
+        """Danger: a machine that vanished says nothing: each further attempt would wait in vain.
         What was silent while an answer was due takes nothing new; a fresh dial shows what is true."""
         if self.now() - since_ms < SILENT_MS:
             return
@@ -316,7 +316,7 @@
         return None
 
     def _ready(self) -> Wire | None:
-        """The connection for what is no transmission: the emptiest."""
+        """The connection for what is no attempt: the emptiest."""
         usable = [
             w for w in self.wires if w.up and not w.spent and not w.paused and len(w.asked) < self.streams
         ]
--- a/petrelway/platform/frames.py
+++ b/petrelway/platform/frames.py
@@ -52,7 +52,7 @@
 
 
 def send(passed: Passed, wait_ms: float) -> bytes:
-    """A transmission; the executor is told how long this front end will wait, in whole ms."""
+    """A attempt; the executor is told how long this front end will wait, in whole ms."""
     fields = f"class={passed.tariff},key={passed.function},wait={max(1, int(wait_ms))}"
     if passed.once:
         fields += ",once=" + passed.once
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -54,7 +54,7 @@
 
     >>> canonical({"tariffs": [], "functions": []})
     '{"adoption":{"silent":"serve on"},"customers":[],"functions":[],"permits":{"longest_retry_ms":1000.0,\
-"second_copies":true,"transmissions":3,"withdraw":true},"tariffs":[]}'
+"second_copies":true,"attempts":3,"withdraw":true},"tariffs":[]}'
     """
     some = {"customers": [], "permits": WhatIsPermitted(), "adoption": Adoption(), **found}
     tree = {name: msgspec.to_builtins(some[name]) for name in SECTIONS}
--- a/petrelway/rehearsal/baselines.py
+++ b/petrelway/rehearsal/baselines.py
@@ -31,7 +31,7 @@
 
 
 class PassThrough:
-    """No module at all, in the module's shape: round robin, one transmission. For benchmarks."""
+    """No module at all, in the module's shape: round robin, one attempt. For benchmarks."""
 
     def __init__(self, now: float, *_: object) -> None:
         self.executors: list[int] = []
@@ -64,7 +64,7 @@
         self.turn = (self.turn + 1) % len(self.executors)
         self.todo.append(Decision(Verb.SEND, request, self.executors[self.turn]))
 
-    def transmission_ended(
+    def attempt_ended(
         self,
         now: float,
         request: int,
--- a/petrelway/rules/checker.py
+++ b/petrelway/rules/checker.py
@@ -95,9 +95,7 @@
         self.ends: dict[tuple[str, int, str], dict] = {}  # how each ended at the client
         self.received: dict[Request, list[dict]] = defaultdict(list)
         self.by_ask: dict[tuple[str, int, str], list[dict]] = defaultdict(list)
-        self.proofs: dict[
-            tuple[Request, int], float
-        ] = {}  # transmissions that never ran, and when it was said
+        self.proofs: dict[tuple[Request, int], float] = {}  # attempts that never ran, and when it was said
         self.orders: dict[tuple[str, str], list[dict]] = defaultdict(list)
         self.told: dict[tuple[str, str], list[dict]] = defaultdict(list)
         self.ups: dict[str, list[dict]] = defaultdict(list)  # by executor
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -7,7 +7,7 @@
 from typing import Annotated, Any, Literal
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 from ..fleet.words import digest
 from .reading import Fault, SettingsFault, evaluate, sections
@@ -71,7 +71,7 @@
 
 
 class WhatIsPermitted(Strict):
-    transmissions: Annotated[int, Meta(ge=1, le=16)] = 3
+    attempts: Annotated[int, Meta(ge=1, le=16)] = field(name="transmissions", default=3)
     second_copies: bool = True
     withdraw: bool = True
     longest_retry_ms: Ms = 1000.0
--- a/petrelway/settings/worker.py
+++ b/petrelway/settings/worker.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated, Any
 
-from msgspec import Meta
+from msgspec import Meta, field
 
 from .front import Count, Listen, LogWanted, Ms, Name, Port, Some, Strict
 from .reading import Fault, SettingsFault, evaluate, sections
--- a/petrelway/standin/life.py
+++ b/petrelway/standin/life.py
@@ -132,7 +132,7 @@
         work_ms: float,
         io_ms: float,
     ) -> None:
-        """A transmission has arrived; `work_ms` is what it really costs."""
+        """A attempt has arrived; `work_ms` is what it really costs."""
         self.record.note(
             "recv",
             ex=self.post.name,
--- a/petrelway/terms.py
+++ b/petrelway/terms.py
@@ -40,7 +40,7 @@
     customer_names: list[str]
     halls: list[str]
     machines: list[str]
-    streams: int  # transmissions that one connection may carry together
+    streams: int  # attempts that one connection may carry together
     connect_ms: float  # a connection that is not up by then counts as unreachable
     idle_ms: float  # idle connections are closed after this time
 
--- a/petrelway/worker/desk.py
+++ b/petrelway/worker/desk.py
@@ -57,7 +57,7 @@
 
 
 class Ask:
-    """One transmission of a request."""
+    """One attempt of a request."""
 
     def __init__(
         self,
@@ -149,7 +149,7 @@
         remaining_ms: float,
         body: bytes,
     ) -> None:
-        """A transmission came; `stamped_ms` is how long its mark counts, 0 for a tariff without marks."""
+        """A attempt came; `stamped_ms` is how long its mark counts, 0 for a tariff without marks."""
         ask = Ask(front, serial, number, mark, function, mb, lanes, stamped_ms, now + remaining_ms, body)
         if remaining_ms <= 0.0:
             self.counts["came too late"] += 1
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -73,7 +73,7 @@
 
     def end(self, request, outcome, number=0, executor=0, took=100.0, warmth=Warmth.FOUND, finished=None):
         done = outcome is Outcome.FULFILLED if finished is None else finished
-        self.fe.transmission_ended(self.now, request, number, outcome, took, done, warmth)
+        self.fe.attempt_ended(self.now, request, number, outcome, took, done, warmth)
 
     def pull(self, forward=0.0) -> list[Decision]:
         """All decisions now, or up to a later time as the wakes fall due."""
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -4,7 +4,7 @@
 
 from helpers import START, Host, verbs
 
-from petrelway.choice import LIMIT_LEAST, MANY, Transmission
+from petrelway.choice import LIMIT_LEAST, MANY, Attempt
 from petrelway.interface import Outcome, Stage, Verb, Warmth
 
 
@@ -38,8 +38,7 @@
             x = host.fe.executors[e]
             f, g = host.fe.functions[0], host.fe.functions[1]
             x.out = {
-                (-k, 0): Transmission(0, x, f if k < own[e] else g, 0.0, 0.0)
-                for k in range(own[e] + others[e])
+                (-k, 0): Attempt(0, x, f if k < own[e] else g, 0.0, 0.0) for k in range(own[e] + others[e])
             }
         host.fe.out = sum(own + others)
         chosen = ask(host).listing.executor
@@ -143,7 +142,7 @@
 
 
 def test_own_stall_proves_nothing():
-    """Danger: a front end that stood still finds all its transmissions overdue at once."""
+    """Danger: a front end that stood still finds all its attempts overdue at once."""
     for stall in (0.0, 1500.0):
         host = Host(3)
         host.teach(0)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -85,7 +85,7 @@
             0, "executor-0", "", 0, "front-1", "p", None, self.place, random.Random(1), self, None
         )
 
-    def transmission_ended(self, executor, key, outcome, *rest):
+    def attempt_ended(self, executor, key, outcome, *rest):
         self.ends.append((key[0], outcome))
 
     def order_answered(self, executor, id, outcome, copies):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize("how", ["close", "interrupt"])
 @pytest.mark.parametrize("cancel", [False, True])
 def test_what_waited_for_a_connection_is_not_sent_on_for_a_client_that_left(tmp_path, how, cancel):
-    """Danger: where transmissions can't be withdrawn, the frame went out all the same when the connection
+    """Danger: where attempts can't be withdrawn, the frame went out all the same when the connection
     came up, up to a second after the client had gone."""
     late = Late()
     with node(tmp_path, [late], limits={"connectTimeoutS": 20.0, "cancel": cancel}) as n:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""What the end of a transmission proves: each outcome, on connections in memory."""
+"""What the end of a attempt proves: each outcome, on connections in memory."""
 
 import random
 
@@ -15,7 +15,7 @@
     def __init__(self):
         self.ends, self.orders, self.probes = [], [], []
 
-    def transmission_ended(self, executor, key, outcome, warmth, crowd, load, content_type, body):
+    def attempt_ended(self, executor, key, outcome, warmth, crowd, load, content_type, body):
         self.ends.append((key, outcome))
 
     def left_ms(self, key):
--- a/tests/test_node_door.py
+++ b/tests/test_node_door.py
@@ -330,7 +330,7 @@
 
 
 def test_one_that_does_not_read_its_answers_is_heard_all_the_same():
-    """Danger: its close and its `interrupt` would lie unread, and further transmissions begin for nobody."""
+    """Danger: its close and its `interrupt` would lie unread, and further attempts begin for nobody."""
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(request(1, call=call(1)) + request(2, call=call(2)))
--- a/tests/test_node_links.py
+++ b/tests/test_node_links.py
@@ -16,7 +16,7 @@
         self.ends, self.orders, self.probes = [], [], []
         self.left = {}  # by key: what is left of the time of one that waited, in ms
 
-    def transmission_ended(self, executor, key, outcome, warmth, crowd, load, content_type, body):
+    def attempt_ended(self, executor, key, outcome, warmth, crowd, load, content_type, body):
         self.ends.append((key, outcome, body))
 
     def left_ms(self, key):
@@ -164,7 +164,7 @@
 
 
 def test_a_late_never_ran_of_the_first_does_not_end_the_second():
-    """Danger: both transmissions of one request carry its id."""
+    """Danger: both attempts of one request carry its id."""
     rig = Rig(room=1)
     wire, pipe = rig.up()
     rig.send(5, 0)
@@ -366,7 +366,7 @@
     assert all(pipe.closed for _, pipe in up) and len(rig.net.dialled) == 1
 
 
-def test_what_is_said_of_a_transmission():
+def test_what_is_said_of_a_attempt():
     for withdraws, codes in ((True, [10, 11]), (False, [10])):  # where the deployment allows no withdrawal
         rig = Rig(withdraws=withdraws)
         _, pipe = rig.up()
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -135,7 +135,7 @@
         if self.fronts[i] is not fe or request not in fe.requests:
             return
         failed = self.chance.random() < self.failing
-        fe.transmission_ended(
+        fe.attempt_ended(
             self.now,
             request,
             number,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,7 +12,7 @@
 
 
 def test_one_final_answer():
-    # executors, what ends the transmission (None: nothing), finished, decisions up to the end
+    # executors, what ends the attempt (None: nothing), finished, decisions up to the end
     table = [
         (2, None, None, ["SEND", "NACK", "WITHDRAW"]),  # no answer: nacked before the client's time is up
         (2, FULFILLED, True, ["SEND"]),
@@ -73,7 +73,7 @@
     assert verbs(host.pull(3899.0)) == ["SEND", "BREAK_OFF", "WITHDRAW"]
 
 
-def test_transmission_limit():
+def test_attempt_limit():
     for sends in (1, 3):
         host = Host(4, sends=sends)
         t, found = host.take(), []
@@ -176,7 +176,7 @@
 def test_what_is_given_up_is_answered_at_once():
     """Danger: held towards the outer limit, a nack would keep the client from asking again, and looks well on
     the bench. The answer comes in the moment in which the module learns that nothing more can be done."""
-    # tariff, transmissions allowed, how each of them ends, the answer, has a time to come back
+    # tariff, attempts allowed, how each of them ends, the answer, has a time to come back
     one, stamped, harmless = Effect.ONE_SHOT, Effect.STAMPED, Effect.HARMLESS
     table = [
         (one, Scope.ALL, 5, [Outcome.ERROR], "BREAK_OFF"),
@@ -276,7 +276,7 @@
 
 
 def waiting(**more):
-    """A host of two executors with one transmission decided that waits for its connection: request, where."""
+    """A host of two executors with one attempt decided that waits for its connection: request, where."""
     host = Host(2, **more)
     t = host.take()
     (sent,) = [d for d in host.pull() if d.verb is Verb.SEND]
