--- a/benchmarks/capacity_front_end_rig.py
+++ b/benchmarks/capacity_front_end_rig.py
@@ -28,7 +28,7 @@
     Released,
     Scope,
     Stage,
-    Tariff,
+    RequestClass,
     Verb,
     Warmth,
 )
@@ -49,7 +49,7 @@
         START_MS,
         7,
         Place(0, 1, 0),
-        [Tariff(Effect.HARMLESS, Scope.ALL, 4000.0, 1000.0, DEADLINE_MS, 1.0, 0.1)],
+        [RequestClass(Effect.HARMLESS, Scope.ALL, 4000.0, 1000.0, DEADLINE_MS, 1.0, 0.1)],
         [Customer(1.0, TENANT_RATE)],
         Permits(3, True, True, False, False, 500.0),
         Keeping(False, True, 30_000.0, 5000.0, 0.0),
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -30,7 +30,7 @@
     Place,
     Scope,
     Stage,
-    Tariff,
+    RequestClass,
     Verb,
     Warmth,
 )
@@ -56,7 +56,7 @@
             self.now,
             7,
             Place(0, 1, 0),
-            [Tariff(Effect.HARMLESS, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
+            [RequestClass(Effect.HARMLESS, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
             [Customer(1.0, RATE)],
             Permits(3, True, True, False, False, 500.0),
             Keeping(False, True, 30_000.0, 5000.0, 0.0),
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -29,7 +29,7 @@
 def tree(fronts: int, executors: int, rate: float, seconds: float, functions: int, **more) -> dict:
     """A day with a deploy and a few silent executors, at about 60% of what the fleet carries."""
     work = 0.6 * executors * 6.4 * 1000.0 / rate
-    tariffs = [
+    request_classes = [
         {"name": "status", "effect": "harmless", "quoted_ms": 1000, "outer_ms": 3000, "late_share": 0.2},
         {"name": "mark", "effect": "stamped", "scope": "hall", "window_ms": 4000, "quoted_ms": 1500,
          "outer_ms": 4000},
@@ -50,7 +50,7 @@
         },
         "functions": {"count": functions, "memory_mb": [220, 580], "load_ms": [400, 1100]},
         "store": {"takes": max(10, executors), "limit": 10 * executors, "thrash": 0.2},
-        "tariffs": tariffs,
+        "tariffs": request_classes,
         "customers": [
             {"name": "north", "portion": 0.6, "rate": 0.6 * rate},
             {"name": "south", "portion": 0.4, "rate": 0.4 * rate},
@@ -58,7 +58,7 @@
         "traffic": {
             "rate": rate,
             "shares": {"status": 0.7, "mark": 0.3},
-            "work": {t["name"]: {"mean_ms": min(250.0, work), "cv": 0.7} for t in tariffs},
+            "work": {t["name"]: {"mean_ms": min(250.0, work), "cv": 0.7} for t in request_classes},
             "retries": 2,
             "backoff_ms": 80,
             "impatient": 0.01,
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -153,12 +153,12 @@
     token = folder / "token"
     token.write_text("t" * 32)
     token.chmod(0o600)
-    tariff = {"name": "a", "effect": "harmless", "quoted_ms": 500, "outer_ms": 1000}
+    request_class = {"name": "a", "effect": "harmless", "quoted_ms": 500, "outer_ms": 1000}
     for i, name in enumerate(names):
         others = [{"name": n, "address": "127.0.0.1", "port": first + j} for j, n in enumerate(names)]
         (folder / f"{name}.json").write_text(json.dumps({
             "front_end": {"name": name, "hall": "a", "number": i, "peers": 5, "seed": i},
-            "listen": {"port": 0}, "roster": {"port": 9}, "fleet": {"halls": ["a"]}, "tariffs": [tariff],
+            "listen": {"port": 0}, "roster": {"port": 9}, "fleet": {"halls": ["a"]}, "tariffs": [request_class],
             "functions": [{"name": "f-*", "memory_mb": 10, "lanes": 1}],
             "cold": {"multiple": 4, "span_ms": 1000, "start_share": 0.2, "warm_ms": 1000},
             "log": {"file": str(folder / f"{name}.log")},
@@ -196,7 +196,7 @@
                 raise SystemExit(f"{names[died[0]]} ended by itself: see {folder}")
             if wish is None:
                 changes += 1
-                terms = {"tariffs": [{**tariff, "worth": float(changes)}], "functions": [
+                terms = {"tariffs": [{**request_class, "worth": float(changes)}], "functions": [
                     {"name": "f-*", "memory_mb": 10, "lanes": 1}]}  # fmt: skip
                 own = own or _get(first + 104)["own document"]
                 wish = {"type": "Propose", "id": f"c{changes}", "base": base, "document": json.dumps(terms),
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -35,7 +35,7 @@
     Released,
     Scope,
     Stage,
-    Tariff,
+    RequestClass,
     Verb,
     Warmth,
 )
@@ -57,7 +57,7 @@
 SECOND_SAVED = 15.0  # most of them saved up
 FAILED = 1.7  # a failure makes a pace this many times slower
 AILING_PACE = 8.0  # times its kind's usual pace: as slow as any evidence makes an executor
-ERRORS, ERRORS_GAIN = 0.3, 0.15  # past this share of errors it gets no request of that tariff ...
+ERRORS, ERRORS_GAIN = 0.3, 0.15  # past this share of errors it gets no request of that request class ...
 ERRORS_SPAN_MS = 5000.0  # ... until the share has faded
 REFUSED_MS = 100.0  # a full that took longer than this was no full queue, but a limit for this customer ...
 REFUSED_REST_MS = 8000.0  # ... which is respected for this time
@@ -145,13 +145,13 @@
 
     def _repeat(self, t: Request, at: Listing, now: float) -> bool:
         """Rule 2: a request that may have run goes out again only where that does no harm."""
-        tariff = t.tariff
-        if tariff.effect is not Effect.STAMPED:
-            return tariff.effect is Effect.HARMLESS
+        request_class = t.request_class
+        if request_class.effect is not Effect.STAMPED:
+            return request_class.effect is Effect.HARMLESS
         for hall, cell, sent_ms in (*t.ran, *map(Attempt.run, t.out.values())):
-            if now > sent_ms + tariff.window_ms - WINDOW_EARLY_MS:
+            if now > sent_ms + request_class.window_ms - WINDOW_EARLY_MS:
                 return False
-            scope = tariff.scope
+            scope = request_class.scope
             if (scope is Scope.HALL and hall != at.hall) or (scope is Scope.CELL and cell != at.cell):
                 return False
         return True
@@ -222,9 +222,9 @@
 
     def nack(self, t: Request) -> bool:
         """Rule 2: a nack says that a repeat does no harm."""
-        if not (t.ran or t.out) or t.tariff.effect is Effect.HARMLESS:
+        if not (t.ran or t.out) or t.request_class.effect is Effect.HARMLESS:
             return True
-        return t.tariff.effect is Effect.STAMPED and t.tariff.scope is Scope.ALL
+        return t.request_class.effect is Effect.STAMPED and t.request_class.scope is Scope.ALL
 
 
 class FrontEnd(FrontEndState):
@@ -235,7 +235,7 @@
         now: float,
         seed: int,
         place: Place,
-        tariffs: list[Tariff],
+        request_classes: list[RequestClass],
         customers: list[Customer],
         permits: Permits,
         keeping: Keeping,
@@ -245,7 +245,7 @@
         super().__init__(now)
         self.clock = ForwardClock(now, TIDY_MS)
         self.chance = random.Random(seed)
-        self.tariffs, self.permits, self.keeping = tariffs, permits, keeping
+        self.request_classes, self.permits, self.keeping = request_classes, permits, keeping
         self.gate = Gate(
             cold, ration, sum(c.rate for c in customers) / 1000.0, 1.0 / max(1, place.peers), self.chance, now
         )
@@ -286,7 +286,7 @@
         self,
         now: float,
         request: int,
-        tariff: int,
+        request_class: int,
         customer: int,
         function: int,
         remaining_ms: float,
@@ -300,13 +300,15 @@
         self.asked = self.asked * math.exp((self.asked_ms - now) / ASKED_SPAN_MS) + size
         f.asked = f.asked * math.exp((f.used_ms - now) / ASKED_SPAN_MS) + size
         self.asked_ms = f.used_ms = now
-        terms, luck = self.tariffs[tariff], self.chance.random()
+        terms, luck = self.request_classes[request_class], self.chance.random()
         deadlines = Deadlines(
             answer_by=now + remaining_ms - min(ANSWER_EARLY_MS, remaining_ms / 2),
             quoted_by=now + terms.quoted_ms,
             patient_until=max(now + terms.quoted_ms, now + PATIENCE * remaining_ms) - LOOK_AGAIN_MS,
         )
-        t = Request(request, tariff, terms, self.permits, customer, f, size, now, deadlines, repeat, luck)
+        t = Request(
+            request, request_class, terms, self.permits, customer, f, size, now, deadlines, repeat, luck
+        )
         self.requests[request], t.work_ms = t, work_ms
         self.gate.taken.append(now)
         self.seconds = min(SECOND_SAVED, self.seconds + SECOND_SHARE)
@@ -347,7 +349,7 @@
         self, now: float, t: Request, sent: Attempt, outcome: Outcome, took_ms: float, warmth: Warmth
     ) -> None:
         e, f = sent.executor, t.function
-        # danger: one that fails fast always has a free lane, and may fail one tariff only: the answers to the
+        # danger: one that fails fast always has a free lane, and may fail one request class only: the answers to the
         # others heal its pace. What nobody ever served fails anywhere, and says nothing of it
         failed = outcome is Outcome.ERROR and f.mean_ms and warmth is not Warmth.LOAD_FAILED
         if failed or outcome is Outcome.FULFILLED and t.kind in e.errors:
@@ -397,11 +399,11 @@
         # danger: a short request's time is mostly not its work; a plain mean of ratios calls all crowded
         weight = min(PACE_CLIP, t.size / self.mean_size)
         e.pace += min(1.0, gain * weight) * (min(pace, e.pace * PACE_CLIP) - e.pace)
-        if e.pace * self.mean_size > CROWDED * t.tariff.quoted_ms:
+        if e.pace * self.mean_size > CROWDED * t.request_class.quoted_ms:
             self._cut(e, e.busy, now)
         elif e.busy + 1 >= e.limit:
             e.weigh(0, e.limit + LIMIT_GROW / e.limit)
-        late = took_ms > max(LATE * t.tariff.quoted_ms, SLOWED * t.work_ms * usual)
+        late = took_ms > max(LATE * t.request_class.quoted_ms, SLOWED * t.work_ms * usual)
         self.late += LATE_GAIN * (late - self.late)
         if late and self.late > JAM:
             self._cut(self, self.out, now)
@@ -469,10 +471,10 @@
             self.attention.append(request)
 
     def terms_told(
-        self, now: float, tariffs: list[Tariff], customers: list[Customer], permits: Permits
+        self, now: float, request_classes: list[RequestClass], customers: list[Customer], permits: Permits
     ) -> None:
         """What is taken from now on goes by these; a request keeps the terms that it was taken under."""
-        self.tariffs, self.permits = tariffs, permits
+        self.request_classes, self.permits = request_classes, permits
         self.gate.rate_told(self.clock.enter(now), sum(c.rate for c in customers) / 1000.0)
 
     def part_told(self, now: float, part: Part) -> None:
@@ -586,7 +588,7 @@
         # danger: with few own requests at each executor no limit there can hold an overload off
         shut = not t.sent and self.out >= self.limit and self.view(now) < LIMIT_LEAST
         e = None if shut else self.choose(t, now)
-        spent = e is None and t.ran and t.tariff.effect is not Effect.HARMLESS
+        spent = e is None and t.ran and t.request_class.effect is not Effect.HARMLESS
         if e is None and (spent or self._hopeless(t, now)):
             return self._give_up(t)  # no place in time, or nothing may be sent again: say so now
         if e is not None and self.keeping.answers_miss and f.index not in e.resume:
@@ -603,9 +605,9 @@
         Danger: a load that hangs, or a list that stays empty, would hold a request to its outer limit."""
         if not self.ready or t.function.index in self.fleet.loading:
             return now > t.patient_until
-        late = now > t.quoted_by - (1.0 - HOLD_SHARE) * t.tariff.quoted_ms
+        late = now > t.quoted_by - (1.0 - HOLD_SHARE) * t.request_class.quoted_ms
         least = min(self.kind_pace.values(), default=1.0)
-        return t.repeat or late or t.size * least > LATE * t.tariff.quoted_ms
+        return t.repeat or late or t.size * least > LATE * t.request_class.quoted_ms
 
     def _fit(self, t: Request, e: Executor, now: float) -> bool:
         """Whether the rules allow it, and nothing speaks against this executor for this request."""
@@ -618,9 +620,9 @@
             return False
         return self.gate.send(t, e, len(self.ready), now)
 
-    def _errors(self, e: Executor, tariff: int, now: float) -> float:
-        """The share of errors in its answers to this tariff; it fades, so that it is tried again."""
-        share, at = e.errors.get(tariff, (0.0, now))
+    def _errors(self, e: Executor, request_class: int, now: float) -> float:
+        """The share of errors in its answers to this request class; it fades, so that it is tried again."""
+        share, at = e.errors.get(request_class, (0.0, now))
         return share * math.exp((at - now) / ERRORS_SPAN_MS)
 
     def view(self, now: float) -> float:
--- a/petrelway/choice_state.py
+++ b/petrelway/choice_state.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from .hash_ring import HASH_BITS, HashRing
-from .interface import Listing, Permits, Released, Stage, Tariff
+from .interface import Listing, Permits, Released, Stage, RequestClass
 
 SALT_BYTES = HASH_BITS // 8  # a salt is a hash of a stable name, the same at all front ends
 
@@ -67,7 +67,7 @@
         self,
         index: int,
         kind: int,
-        tariff: Tariff,
+        request_class: RequestClass,
         permits: Permits,
         customer: int,
         function: FunctionState,
@@ -78,8 +78,8 @@
         luck: float,
     ) -> None:
         self.index = index
-        self.kind = kind  # the tariff's index
-        self.tariff = tariff
+        self.kind = kind  # the request class's index
+        self.request_class = request_class
         self.permits = permits
         self.customer = customer
         self.function = function
@@ -123,7 +123,7 @@
         self.cut_ms = -math.inf
         self.weigh(0, limit)
         self.refused: dict[int, float] = {}  # customer -> until when
-        self.errors: dict[int, tuple[float, float]] = {}  # tariff -> share of errors, when
+        self.errors: dict[int, tuple[float, float]] = {}  # request class -> share of errors, when
         self.cold_sends: deque[float] = deque()
         for index in tuple(self.orders):
             self.loaded(index)
--- a/petrelway/commands/workers.py
+++ b/petrelway/commands/workers.py
@@ -74,7 +74,7 @@
         ),
         Images(Path(found["images"].folder), found["images"].bound_mb),
         store,
-        {mark.tariff: mark.window_ms for mark in found["stamped"]},
+        {mark.request_class: mark.window_ms for mark in found["stamped"]},
         loads.start_timeout_ms,
         found["memory"].measure_ms,
         loads.recheck_ms,
--- a/petrelway/console/pages.py
+++ b/petrelway/console/pages.py
@@ -24,8 +24,8 @@
     hour = t.service(now, 3600)
     yield
     rows = {}
-    for tariff in t.quoted_ms:
-        rows[tariff] = {"quoted ms": t.quoted_ms[tariff], **t.quantiles(now, tariff)}
+    for request_class in t.quoted_ms:
+        rows[request_class] = {"quoted ms": t.quoted_ms[request_class], **t.quantiles(now, request_class)}
         yield
     series = {field: t.windows.series(now, field) for field in ("taken", "in time", "fulfilled", "nacked")}
     return {"minute": minute, "hour": hour, "latency": rows, "series": series, "own": d.own_state()}
@@ -85,7 +85,7 @@
                 {
                     "source": short(story.mark.partition("\n")[0]),
                     "id": short(story.mark.partition("\n")[2]),
-                    "tariff": story.tariff,
+                    "tariff": story.request_class,
                     "customer": short(story.customer),
                     "function": short(story.function),
                     "answer": story.answer or "open",
--- a/petrelway/console/telemetry.py
+++ b/petrelway/console/telemetry.py
@@ -23,10 +23,10 @@
 class Story:
     """What happened to one request: times in ms since it was taken."""
 
-    __slots__ = ("mark", "tariff", "customer", "function", "taken_ms", "events", "answer", "took_ms")
+    __slots__ = ("mark", "request_class", "customer", "function", "taken_ms", "events", "answer", "took_ms")
 
-    def __init__(self, mark: str, tariff: str, customer: str, function: str, taken_ms: float) -> None:
-        self.mark, self.tariff, self.customer, self.function = mark, tariff, customer, function
+    def __init__(self, mark: str, request_class: str, customer: str, function: str, taken_ms: float) -> None:
+        self.mark, self.request_class, self.customer, self.function = mark, request_class, customer, function
         self.taken_ms = taken_ms
         self.events: list[tuple[float, str, str, str]] = []  # when, what, executor, detail
         self.answer, self.took_ms = "", 0.0
@@ -137,13 +137,15 @@
 
     def terms_told(self, quoted_ms: dict[str, float]) -> None:
         self.quoted_ms = quoted_ms
-        for tariff in quoted_ms:
-            self.latency.setdefault(tariff, deque((), LATENCY_SLOTS))
+        for request_class in quoted_ms:
+            self.latency.setdefault(request_class, deque((), LATENCY_SLOTS))
 
     # -- what the host calls
 
-    def taken(self, now: float, serial: int, mark: str, tariff: str, customer: str, function: str) -> None:
-        story = Story(mark, tariff, customer, function, now)
+    def taken(
+        self, now: float, serial: int, mark: str, request_class: str, customer: str, function: str
+    ) -> None:
+        story = Story(mark, request_class, customer, function, now)
         self.open[serial] = story
         self.stories.append(story)
         gone = self.functions.add(function)
@@ -177,10 +179,10 @@
         story.answer, story.took_ms = kind, now - story.taken_ms
         story.add(now, kind)
         self.totals[kind] += 1
-        in_time = kind == "fulfilled" and story.took_ms <= self.quoted_ms[story.tariff]
+        in_time = kind == "fulfilled" and story.took_ms <= self.quoted_ms[story.request_class]
         self._count(now, story, kind, *(["in time"] if in_time else []))
         if kind == "fulfilled":
-            self._latency(now, story.tariff, story.took_ms)
+            self._latency(now, story.request_class, story.took_ms)
 
     def released(self, serial: int) -> None:
         self.open.pop(serial, None)
@@ -191,7 +193,7 @@
     # -- what pages read
 
     def service(self, now: float, seconds: int) -> dict[str, Any]:
-        """Share in time and counts, in all and by tariff, customer, hall and executor."""
+        """Share in time and counts, in all and by request class, customer, hall and executor."""
         counts = self.windows.over(now, seconds)
         found: dict[str, Any] = {}
         for (dimension, name, field), count in counts.items():
@@ -208,10 +210,10 @@
     def _finished(fields: dict[str, int]) -> int:
         return sum(fields.get(kind, 0) for kind in ("fulfilled", "nacked", "broken off", "gone"))
 
-    def quantiles(self, now: float, tariff: str) -> dict[str, float]:
+    def quantiles(self, now: float, request_class: str) -> dict[str, float]:
         """Of fulfilled answers over the last hour at the most, in ms."""
         merged = HdrHistogram(1, LATENCY_MOST_MS, 2)
-        for slot, histogram in self.latency[tariff]:
+        for slot, histogram in self.latency[request_class]:
             if slot > int(now // SLOT_MS) - LATENCY_SLOTS:
                 merged.add(histogram)
         if not merged.get_total_count():
@@ -224,8 +226,8 @@
             for h in self.functions.top(count)
         ]
 
-    def _latency(self, now: float, tariff: str, took_ms: float) -> None:
-        slots, at = self.latency[tariff], int(now // SLOT_MS)
+    def _latency(self, now: float, request_class: str, took_ms: float) -> None:
+        slots, at = self.latency[request_class], int(now // SLOT_MS)
         if not slots or slots[-1][0] < at:
             slots.append((at, HdrHistogram(1, LATENCY_MOST_MS, 2)))
         slots[-1][1].record_value(max(1, min(LATENCY_MOST_MS, round(took_ms))))
@@ -234,5 +236,9 @@
         customer = self.windows.name("customer", story.customer)
         keys = []
         for field in fields:
-            keys += [("all", "", field), ("tariff", story.tariff, field), ("customer", customer, field)]
+            keys += [
+                ("all", "", field),
+                ("tariff", story.request_class, field),
+                ("customer", customer, field),
+            ]
         self.windows.add(now, keys)
--- a/petrelway/drill/codec.py
+++ b/petrelway/drill/codec.py
@@ -41,18 +41,18 @@
         """Hand one event to the module as a call."""
         kind, front_end = item[0], self.front_end
         if kind == "knock":
-            rid, start_ms, cost_s, ttl_s, lanes, fn, tariff, customer, marks, memory = item[2:12]
+            rid, start_ms, cost_s, ttl_s, lanes, fn, request_class, customer, marks, memory = item[2:12]
             function, new = self.functions.enter(fn)
             if new:
                 front_end.function_named(now, function, str(fn), memory or 0.0, lanes or 1, start_ms or 0.0)
             hinted = cost_s if cost_s and (marks or 0) & 1 else 0.0
-            if not 0 <= (tariff or 0) < len(front_end.tariffs):
-                raise WireFault(f"knock names class {tariff}, which the settings do not list")
+            if not 0 <= (request_class or 0) < len(front_end.request_classes):
+                raise WireFault(f"knock names class {request_class}, which the settings do not list")
             request, _ = self.requests.enter(rid)
             front_end.request_taken(
                 now,
                 request,
-                tariff or 0,
+                request_class or 0,
                 customer or 0,
                 function,
                 (ttl_s or 0.0) * 1e3,
--- a/petrelway/emulator/clients.py
+++ b/petrelway/emulator/clients.py
@@ -36,7 +36,7 @@
     def go(self) -> None:
         c, asked = self.clients, self.asked
         now = c.now()
-        self.left_ms = c.manners.left_ms(asked.tariff, now - self.first_ms)
+        self.left_ms = c.manners.left_ms(asked.request_class, now - self.first_ms)
         if not self.left_ms:
             return
         self.at = front = c.fronts.get(self.front)
@@ -52,7 +52,7 @@
             m=f"{c.source}\n{self.id}",
             r=self.turn,
             fe=name,
-            f=c.tariffs[asked.tariff],
+            f=c.request_classes[asked.request_class],
             c=c.customers[asked.customer],
             fn=asked.function.name,
             left=round(self.left_ms, 3),
@@ -70,7 +70,7 @@
             return  # left before the front end came to it
         c, asked, f = self.clients, self.asked, self.asked.function
         self.leave = self.at.take(
-            asked.tariff,
+            asked.request_class,
             asked.customer,
             Function(f.name, f.memory_mb, f.lanes, 0.0),
             f"{c.source}\n{self.id}",
@@ -97,7 +97,9 @@
             x=answer.executor,
             w=answer.warmth.label,
         )
-        c.again(self, c.manners.after_answer(answer.kind, answer.retry_ms, self.asked.tariff, self.turn))
+        c.again(
+            self, c.manners.after_answer(answer.kind, answer.retry_ms, self.asked.request_class, self.turn)
+        )
 
     def lost(self) -> None:
         """The front end's process died under it."""
@@ -105,7 +107,7 @@
             return
         c = self.clients
         c.record.note("lost", _source=c.source, id=self.id, r=self.turn, fe=f"front-{self.front}")
-        c.again(self, c.manners.after_lost(self.asked.tariff, self.turn))
+        c.again(self, c.manners.after_lost(self.asked.request_class, self.turn))
 
     def _leave(self, impatient: bool) -> None:
         if self._end():
@@ -144,7 +146,7 @@
         self.chance = random.Random(f"{day['day'].seed}/clients {number}")
         self.traffic = Traffic(day, self.chance, day["traffic"].clients)
         self.manners = Manners(day, day["fleet"].fronts, self.chance)
-        self.tariffs = [t.name for t in day["tariffs"]]
+        self.request_classes = [t.name for t in day["tariffs"]]
         self.customers = [c.name for c in day["customers"]]
         self.source, self.serial, self.epoch_ms = f"/gateway/{number}", 0, epoch_ms
         self.open: dict[int, dict[Attempt, None]] = {}
@@ -170,7 +172,7 @@
         self.record.note(
             "due",
             m=f"{self.source}\nt{self.serial}",
-            f=self.tariffs[asked.tariff],
+            f=self.request_classes[asked.request_class],
             c=self.customers[asked.customer],
             w=round(asked.work_ms, 3),
             at=round(self.next_ms - self.epoch_ms, 3),
--- a/petrelway/emulator/links.py
+++ b/petrelway/emulator/links.py
@@ -198,7 +198,7 @@
         function: str,
         memory_mb: float,
         lanes: int,
-        tariff: str,
+        request_class: str,
         customer: str,
         remaining_ms: float,
         work_ms: float,
@@ -217,7 +217,7 @@
             return
         self.out[key] = None
         real_ms, io_ms, turn = body
-        wire.say(wire.life.receive, wire, *key, mark, turn, function, memory_mb, lanes, tariff,
+        wire.say(wire.life.receive, wire, *key, mark, turn, function, memory_mb, lanes, request_class,
             customer, remaining_ms, real_ms, io_ms)  # fmt: skip
 
     def withdraw(self, key: Key, outcome: Outcome = Outcome.WITHDRAWN) -> Outcome | None:
--- a/petrelway/emulator/policy_traffic.py
+++ b/petrelway/emulator/policy_traffic.py
@@ -17,7 +17,7 @@
 
 from ..policy.document import canonical
 from ..policy.words import Progress
-from ..settings.front import FunctionEntry, TariffTerms
+from ..settings.front import FunctionEntry, RequestClassTerms
 from ..standin.memory import World
 from ..standin.fault_schedule import NetworkFault, FaultSchedule
 from .council import One, Council
@@ -76,7 +76,7 @@
     (True, False, True)
     """
     classes = [
-        TariffTerms(
+        RequestClassTerms(
             name=f"class-{number:02}",
             effect="harmless",
             quoted_ms=200.0 + number,
--- a/petrelway/events/single.py
+++ b/petrelway/events/single.py
@@ -1,7 +1,7 @@
 """One CloudEvent over HTTP, binary or structured mode, without I/O (CloudEvents 1.0.2, HTTP binding 1.0.2).
 
 A later module takes batches and the protobuf format; this one reads what a request needs, and refuses the
-rest by name. Nothing here knows tariffs or functions.
+rest by name. Nothing here knows request classes or functions.
 """
 
 from __future__ import annotations
--- a/petrelway/front/ask.py
+++ b/petrelway/front/ask.py
@@ -1,4 +1,4 @@
-"""From an event to what the host takes, without I/O: tariff, customer, function, time, hint, repeat."""
+"""From an event to what the host takes, without I/O: request class, customer, function, time, hint, repeat."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Ask(NamedTuple):
-    tariff: int
+    request_class: int
     customer: int
     function: Function
     mark: str
@@ -45,16 +45,16 @@
 
     def __init__(
         self,
-        tariffs: Mapping[str, float],
+        request_classes: Mapping[str, float],
         customers: Sequence[str],
         catalogue: Catalogue,
         places: Mapping[str, int] | None = None,
         names: Mapping[str, int] | None = None,
     ) -> None:
-        """`places` and `names`: the indices of tariffs and customers; else in their order."""
-        self.tariffs = {
+        """`places` and `names`: the indices of request classes and customers; else in their order."""
+        self.request_classes = {
             name: (places[name] if places else i, outer_ms)
-            for i, (name, outer_ms) in enumerate(tariffs.items())
+            for i, (name, outer_ms) in enumerate(request_classes.items())
         }
         self.customers = {name: names[name] if names else i for i, name in enumerate(customers)}
         self.catalogue = catalogue
@@ -62,9 +62,9 @@
     def read(self, event: Event) -> Ask:
         told = event.attributes
         name = told.get("tariff", "")
-        if name not in self.tariffs:
-            raise EventFault(422, "tariff", repr(name), "one of " + ", ".join(self.tariffs))
-        tariff, outer_ms = self.tariffs[name]
+        if name not in self.request_classes:
+            raise EventFault(422, "tariff", repr(name), "one of " + ", ".join(self.request_classes))
+        request_class, outer_ms = self.request_classes[name]
         name = told.get("customer", "")
         if self.customers and name not in self.customers:
             raise EventFault(422, "customer", repr(name), "one that the settings list")
@@ -84,7 +84,13 @@
         if len(mark) > 512:
             raise EventFault(400, "id", f"{len(mark)} characters with source", "512 at most")
         return Ask(
-            tariff, customer, function, mark, remaining_ms, _amount(told, "workhint", 0.0), repeat == "true"
+            request_class,
+            customer,
+            function,
+            mark,
+            remaining_ms,
+            _amount(told, "workhint", 0.0),
+            repeat == "true",
         )
 
 
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -16,7 +16,7 @@
 
 from ..choice import FrontEnd
 from ..indices import Ids
-from ..interface import Customer, Decision, Listing, Outcome, Permits, Stage, Tariff, Verb, Warmth
+from ..interface import Customer, Decision, Listing, Outcome, Permits, Stage, RequestClass, Verb, Warmth
 from ..listing import Line
 from ..start_times import StartTimes
 from ..wire import codec
@@ -45,7 +45,7 @@
     """Who looks on. Times in ms; names as outside."""
 
     def taken(
-        self, now: float, serial: int, mark: str, tariff: str, customer: str, function: str
+        self, now: float, serial: int, mark: str, request_class: str, customer: str, function: str
     ) -> None: ...
 
     def decided(self, now: float, serial: int, what: str, executor: str, detail: str) -> None: ...
@@ -96,7 +96,7 @@
         index: int,
         serial: int,
         mark: str,
-        tariff: str,
+        request_class: str,
         customer: str,
         function: Function,
         outer_ms: float,
@@ -105,7 +105,7 @@
         body: bytes,
     ) -> None:
         self.index, self.serial, self.mark = index, serial, mark
-        self.tariff, self.customer, self.function = tariff, customer, function
+        self.request_class, self.customer, self.function = request_class, customer, function
         self.outer_ms, self.work_ms, self.content_type, self.body = outer_ms, work_ms, content_type, body
         self.out: dict[int, Out] = {}
         self.sent = 0
@@ -132,7 +132,7 @@
         front_end: FrontEnd,
         name: str,
         process: str,
-        tariffs: list[str],
+        request_classes: list[str],
         customers: list[str],
         halls: list[str],
         machines: list[str],
@@ -149,7 +149,7 @@
         self.unix_ahead_s, self.starts = unix_ahead_s, StartTimes()
         self.link = link
         self.clock, self.front_end, self.name, self.process = clock, front_end, name, process
-        self.tariffs, self.customers = tariffs, customers
+        self.request_classes, self.customers = request_classes, customers
         self.order_timeout_ms, self.connect, self.chance, self.log = order_timeout_ms, connect, chance, log
         self.meter, self.deciding_s = meter, 0.0
         self.requests, self.executors, self.functions = Ids(), Ids(), Ids()
@@ -178,16 +178,16 @@
     # -- inputs
 
     def terms_told(
-        self, tariffs: list[Tariff], customers: list[Customer], names: list[str], customer_names: list[str],
+        self, request_classes: list[RequestClass], customers: list[Customer], names: list[str], customer_names: list[str],
         permits: Permits,
     ) -> None:  # fmt: skip
         """From now on requests are taken under these; indices keep their names."""
-        self.front_end.terms_told(self.now(), tariffs, customers, permits)
-        self.tariffs, self.customers = names, customer_names
+        self.front_end.terms_told(self.now(), request_classes, customers, permits)
+        self.request_classes, self.customers = names, customer_names
 
     def take(
         self,
-        tariff: int,
+        request_class: int,
         customer: int,
         function: Function,
         mark: str,
@@ -211,7 +211,7 @@
             index,
             self.serial,
             mark,
-            self.tariffs[tariff],
+            self.request_classes[request_class],
             self.customers[customer] if self.customers else "",
             function,
             now + remaining_ms,
@@ -227,8 +227,10 @@
         self.counts["taken"] += 1
         answer = t.answer
         if self.watch is not None:
-            self.watch.taken(now, self.serial, mark, t.tariff, t.customer, function.name)
-        self.front_end.request_taken(now, index, tariff, customer, known, remaining_ms, work_ms, repeat)
+            self.watch.taken(now, self.serial, mark, t.request_class, t.customer, function.name)
+        self.front_end.request_taken(
+            now, index, request_class, customer, known, remaining_ms, work_ms, repeat
+        )
         self._soon()
         return answer
 
@@ -444,7 +446,7 @@
             error=repr(error),
             request=t.mark if t else "",
             function=t.function.name if t else "",
-            tariff=t.tariff if t else "",
+            request_class=t.request_class if t else "",
             sent=t.sent if t else 0,
             out=sorted(t.out) if t else [],
             exc_info=error,
@@ -505,7 +507,7 @@
             f.name,
             f.memory_mb,
             f.lanes,
-            t.tariff,
+            t.request_class,
             t.customer,
             remaining_ms,
             t.work_ms,
--- a/petrelway/front/links.py
+++ b/petrelway/front/links.py
@@ -113,7 +113,7 @@
         function: str,
         memory_mb: float,
         lanes: int,
-        tariff: str,
+        request_class: str,
         customer: str,
         remaining_ms: float,
         work_ms: float,
@@ -130,7 +130,17 @@
             self.report_unanswered(key, Outcome.UNREACHABLE)
             return
         self.frames[key] = lambda left_ms: codec.send(
-            *key, mark, function, memory_mb, lanes, tariff, customer, left_ms, work_ms, content_type, body
+            *key,
+            mark,
+            function,
+            memory_mb,
+            lanes,
+            request_class,
+            customer,
+            left_ms,
+            work_ms,
+            content_type,
+            body,
         )
         if len(self.frames) == 1 and self._writable():
             self._hand_over(remaining_ms)
--- a/petrelway/front/service.py
+++ b/petrelway/front/service.py
@@ -34,7 +34,7 @@
         now,
         seed,
         Place(place.number, place.peers, fleet.halls.index(place.hall)),
-        made.tariffs,
+        made.request_classes,
         made.customers,
         made.permits,
         Keeping(
@@ -101,7 +101,7 @@
             decider(self.kind, now, place.seed, found),
             place.name,
             process,
-            self.made.tariff_names,
+            self.made.request_class_names,
             self.made.customer_names,
             fleet.halls,
             fleet.machines,
@@ -192,7 +192,7 @@
         """One assignment for each part, in one turn, after all that can fail has been done."""
         made = self.made = told.made[0]
         self.host.terms_told(
-            made.tariffs, made.customers, made.tariff_names, made.customer_names, made.permits
+            made.request_classes, made.customers, made.request_class_names, made.customer_names, made.permits
         )
         self.intake.asks = made.asks
 
@@ -206,7 +206,7 @@
             self.note("took", fe=self.found["front_end"].name, version=under.version, digest=under.digest,
                       m=ask.mark)  # fmt: skip
         return self.host.take(
-            ask.tariff,
+            ask.request_class,
             ask.customer,
             ask.function,
             ask.mark,
--- a/petrelway/front/terms.py
+++ b/petrelway/front/terms.py
@@ -4,20 +4,20 @@
 
 from typing import Any, NamedTuple
 
-from ..interface import Customer, Effect, Permits, Scope, Tariff
+from ..interface import Customer, Effect, Permits, Scope, RequestClass
 from .ask import Asks, Catalogue
 from .host import Function
 
-PLACES_BOUND = 10_000  # tariffs, or customers, that one process may have known
+PLACES_BOUND = 10_000  # request classes, or customers, that one process may have known
 
 
 class Terms(NamedTuple):
     """What requests are taken under from one turn on."""
 
     asks: Asks
-    tariffs: list[Tariff]
+    request_classes: list[RequestClass]
     customers: list[Customer]
-    tariff_names: list[str]
+    request_class_names: list[str]
     customer_names: list[str]
     permits: Permits
     quoted_ms: dict[str, float]
@@ -30,12 +30,15 @@
 
 def make(found: dict[str, Any], before: Terms | None = None) -> Terms:
     """From checked sections. A name keeps its index for as long as the process lives: requests that are open
-    name tariffs and customers that may be dropped. Raises ValueError past PLACES_BOUND."""
-    tariffs, places = list(before.tariffs) if before else [], _places(before and before.tariff_names)
+    name request classes and customers that may be dropped. Raises ValueError past PLACES_BOUND."""
+    request_classes, places = (
+        list(before.request_classes) if before else [],
+        _places(before and before.request_class_names),
+    )
     for t in found["tariffs"]:
-        tariff = Tariff(Effect(t.effect), Scope(t.scope), t.window_ms, t.quoted_ms, t.outer_ms, t.worth,
+        request_class = RequestClass(Effect(t.effect), Scope(t.scope), t.window_ms, t.quoted_ms, t.outer_ms, t.worth,
                         t.late_share)  # fmt: skip
-        _put(tariffs, places, t.name, tariff)
+        _put(request_classes, places, t.name, request_class)
     # what was dropped has no share any more
     customers = [Customer(0.0, 0.0)] * (len(before.customers) if before else 0)
     names = _places(before and before.customer_names)
@@ -52,7 +55,7 @@
     )  # fmt: skip
     quoted_ms = {**(before.quoted_ms if before else {}), **{t.name: t.quoted_ms for t in found["tariffs"]}}
     longest_ms = max([before.longest_ms if before else 0.0, *(t.outer_ms for t in found["tariffs"])])
-    return Terms(asks, tariffs, customers, list(places), list(names), permits_of(found["permits"]), quoted_ms,
+    return Terms(asks, request_classes, customers, list(places), list(names), permits_of(found["permits"]), quoted_ms,
                  longest_ms)  # fmt: skip
 
 
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -122,7 +122,7 @@
     payload: bytes = b""
 
 
-class Tariff(NamedTuple):
+class RequestClass(NamedTuple):
     effect: Effect
     scope: Scope
     window_ms: float
--- a/petrelway/node/door.py
+++ b/petrelway/node/door.py
@@ -127,7 +127,7 @@
         self,
         number: int,
         passed: Passed,
-        tariff: int,
+        request_class: int,
         customer: int,
         remaining_ms: float,
         work_ms: float,
@@ -149,7 +149,7 @@
             door.counts["nacked untaken"] += 1
             self.transport.write(lines.nacked(number, retry_ms))
             return
-        answer = door.take(passed, tariff, customer, remaining_ms, work_ms, memory_mb, lanes, load_ms)
+        answer = door.take(passed, request_class, customer, remaining_ms, work_ms, memory_mb, lanes, load_ms)
         self.state.taken(number, passed.call)
         self.answers[number] = answer
         door.calls[passed.call] = self, number
--- a/petrelway/node/links.py
+++ b/petrelway/node/links.py
@@ -233,7 +233,7 @@
         function: str,
         memory_mb: float,
         lanes: int,
-        tariff: str,
+        request_class: str,
         customer: str,
         remaining_ms: float,
         work_ms: float,
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -50,7 +50,7 @@
         told.name,
         told.address,
         told.port,
-        terms.tariff_names,
+        terms.request_class_names,
         terms.customer_names,
         terms.halls,
         terms.machines,
@@ -102,7 +102,7 @@
             terms.front_end(self.now(), told.seed),
             told.name,
             "",  # the protocol names no process
-            terms.tariff_names,
+            terms.request_class_names,
             terms.customer_names,
             terms.halls,
             terms.machines,
@@ -115,12 +115,12 @@
         )
         portions = [c.portion for c in terms.customers]
         self.shedder = Shedder(portions, LAG_BOUND_MS, OPEN_BOUND, BUFFERED_BOUND, sockets, chance)
-        tariffs = [
+        request_classes = [
             (name, t.outer_ms, t.effect is Effect.STAMPED)
-            for name, t in zip(terms.tariff_names, terms.tariffs)
+            for name, t in zip(terms.request_class_names, terms.request_classes)
         ]
         self.door = Door(
-            Asks(tariffs, terms.customer_names),
+            Asks(request_classes, terms.customer_names),
             self.take,
             self.refuse,
             self.serving,
@@ -197,7 +197,7 @@
     def take(
         self,
         passed: Passed,
-        tariff: int,
+        request_class: int,
         customer: int,
         remaining_ms: float,
         work_ms: float,
@@ -209,7 +209,7 @@
         remaining_ms = max(1.0, remaining_ms - self.lag_ms - WRITE_ROOM_MS)
         function = Function(passed.function, memory_mb, lanes or 1, load_ms)
         return self.host.take(
-            tariff, customer, function, passed.call.hex(), remaining_ms, work_ms, False, "", passed
+            request_class, customer, function, passed.call.hex(), remaining_ms, work_ms, False, "", passed
         )
 
     def refuse(self, customer: int) -> float | None:
@@ -287,7 +287,7 @@
         yield self._pause(0.0)
         yield defer.maybeDeferred(self.port.stopListening)
         self.door.leave()
-        longest_ms = max(t.outer_ms for t in self.told.terms.tariffs) + LEAVE_SLACK_MS
+        longest_ms = max(t.outer_ms for t in self.told.terms.request_classes) + LEAVE_SLACK_MS
         if not (yield self._in_time(host.nothing_owed(), longest_ms)):
             self.log.error("answers owed past every outer limit", owed=host.owed)
             host.break_off_all()
--- a/petrelway/platform/frames.py
+++ b/petrelway/platform/frames.py
@@ -53,7 +53,7 @@
 
 def send(passed: Passed, wait_ms: float) -> bytes:
     """A attempt; the executor is told how long this front end will wait, in whole ms."""
-    fields = f"class={passed.tariff},key={passed.function},wait={max(1, int(wait_ms))}"
+    fields = f"class={passed.request_class},key={passed.function},wait={max(1, int(wait_ms))}"
     if passed.once:
         fields += ",once=" + passed.once
     return frame(SEND, passed.call, fields.encode(), passed.body)
--- a/petrelway/platform/lines.py
+++ b/petrelway/platform/lines.py
@@ -53,7 +53,7 @@
         self,
         number: int,
         passed: Passed,
-        tariff: int,
+        request_class: int,
         customer: int,
         remaining_ms: float,
         work_ms: float,
@@ -108,9 +108,11 @@
 class Asks:
     """Reads lines by the names that the terms give."""
 
-    def __init__(self, tariffs: list[tuple[str, float, bool]], customers: list[str]) -> None:
-        """`tariffs`: name, outer limit in ms (0: none told), whether a mark against repeats is wanted."""
-        self.tariffs = {name: (i, outer_ms, keyed) for i, (name, outer_ms, keyed) in enumerate(tariffs)}
+    def __init__(self, request_classes: list[tuple[str, float, bool]], customers: list[str]) -> None:
+        """`request classes`: name, outer limit in ms (0: none told), whether a mark against repeats is wanted."""
+        self.request_classes = {
+            name: (i, outer_ms, keyed) for i, (name, outer_ms, keyed) in enumerate(request_classes)
+        }
         self.customers = {name: i for i, name in enumerate(customers)}
 
     def read(self, line: bytes, ears: ClientEars) -> None:
@@ -137,20 +139,20 @@
             ears.checked(number)
             return
         ears.numbered(number)
-        tariff = self.tariffs.get(method)
-        if tariff is None:
+        request_class = self.request_classes.get(method)
+        if request_class is None:
             raise LineFault(number, NO_METHOD, "no such class")
-        self._asked(number, method, tariff, params, ears)
+        self._asked(number, method, request_class, params, ears)
 
     def _asked(
         self,
         number: int,
         name: str,
-        tariff: tuple[int, float, bool],
+        request_class: tuple[int, float, bool],
         params: dict[str, Any],
         ears: ClientEars,
     ) -> None:
-        index, outer_ms, keyed = tariff
+        index, outer_ms, keyed = request_class
         call, function, once = params.get("call"), params.get("row"), params.get("dedupe")
         if type(call) is not str or not HEX16(call):
             raise LineFault(number, BAD_PARAMS, "call: 16 hex digits wanted")
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -52,9 +52,9 @@
 def canonical(found: Mapping[str, Any]) -> str:
     """The terms among checked sections, each default written out, in one form.
 
-    >>> canonical({"tariffs": [], "functions": []})
+    >>> canonical({"request classes": [], "functions": []})
     '{"adoption":{"silent":"serve on"},"customers":[],"functions":[],"permits":{"longest_retry_ms":1000.0,\
-"second_copies":true,"attempts":3,"withdraw":true},"tariffs":[]}'
+"second_copies":true,"attempts":3,"withdraw":true},"request classes":[]}'
     """
     some = {"customers": [], "permits": WhatIsPermitted(), "adoption": Adoption(), **found}
     tree = {name: msgspec.to_builtins(some[name]) for name in SECTIONS}
@@ -113,10 +113,10 @@
 def differences(before: str, after: str) -> list[Difference]:
     """What differs between two documents, in their order.
 
-    >>> one = '{"tariffs":[{"name":"quick","outer_ms":500.0}]}'
+    >>> one = '{"request classes":[{"name":"quick","outer_ms":500.0}]}'
     >>> differences(one, one.replace("500", "400"))[0].where
-    'tariffs[quick].outer_ms'
-    >>> differences(one, '{"tariffs":[]}')[0].danger
+    'request classes[quick].outer_ms'
+    >>> differences(one, '{"request classes":[]}')[0].danger
     'requests that name it are refused'
     """
     one, two = json.loads(before), json.loads(after)
--- a/petrelway/rehearsal/baselines.py
+++ b/petrelway/rehearsal/baselines.py
@@ -51,7 +51,7 @@
         self,
         now: float,
         request: int,
-        tariff: int,
+        request_class: int,
         customer: int,
         function: int,
         remaining_ms: float,
--- a/petrelway/rehearsal/benchday.py
+++ b/petrelway/rehearsal/benchday.py
@@ -1,6 +1,6 @@
 """Reads a bench's day file and makes a day of ours of it, scaled to this machine; says what it leaves out.
 
-The file is JSON; its times are microseconds. Read are fleet, halls, clients, tariffs, customers, loads
+The file is JSON; its times are microseconds. Read are fleet, halls, clients, request classes, customers, loads
 and troubles.
 """
 
@@ -108,7 +108,7 @@
                 "queue": int(kind["queue"].number()),
             }
         )
-    tariffs, work, shares = [], {}, {}
+    request_classes, work, shares = [], {}, {}
     for c in day["classes"].each():
         name = str(c["name"].value)
         effect = EFFECTS.get(c["effect"].value)
@@ -116,7 +116,7 @@
             raise SettingsFault(
                 c.file, [Fault(c["effect"].path, repr(c["effect"].value), ", ".join(EFFECTS))]
             )
-        tariffs.append(
+        request_classes.append(
             {
                 "name": name,
                 "effect": effect,
@@ -182,7 +182,7 @@
             "fetch_share": fam["fetch_share"].number(),
             "lanes": sorted({int(s["lanes"].number()) for s in sorts}),
         },
-        "tariffs": tariffs,
+        "tariffs": request_classes,
         "customers": tenants or [{"name": "all", "portion": 1.0, "rate": rate}],
         "traffic": {
             "rate": rate,
--- a/petrelway/rehearsal/report.py
+++ b/petrelway/rehearsal/report.py
@@ -24,7 +24,7 @@
 
 def sums(lines: Iterable[dict[str, Any]], day: dict[str, Any]) -> dict[str, Any]:
     """Service within the quoted time and what it is made of. Times in ms, shares from 0 to 1."""
-    tariffs = {t.name: t for t in day["tariffs"]}
+    request_classes = {t.name: t for t in day["tariffs"]}
     first: dict[str, dict] = {}
     good: dict[str, float] = {}
     outcomes: Counter[str] = Counter()
@@ -58,7 +58,7 @@
     windows: dict[int, list[float]] = {}
     by_customer: dict[str, list[float]] = {}
     for mark, line in first.items():
-        t = tariffs[line["f"]]
+        t = request_classes[line["f"]]
         worth = t.worth * line["w"]
         got = 0.0
         if mark in good:
--- a/petrelway/rules/checker.py
+++ b/petrelway/rules/checker.py
@@ -37,7 +37,7 @@
         }
 
 
-class TariffRule(NamedTuple):
+class RequestClassRule(NamedTuple):
     effect: str  # harmless, stamped or one-shot
     scope: str  # all, hall or cell
     window_ms: float
@@ -47,7 +47,7 @@
 class Figures(NamedTuple):
     """The rules' stated figures."""
 
-    tariffs: dict[str, TariffRule]
+    request_classes: dict[str, RequestClassRule]
     drain_grace_ms: float
     cold_multiple: float
     cold_span_ms: float
@@ -66,7 +66,7 @@
     cold, ration, fleet = day["cold"], day["ration"], day["fleet"]
     return Figures(
         {
-            t.name: TariffRule(
+            t.name: RequestClassRule(
                 t.effect, t.scope, t.window_ms, work[t.name].mean_ms if t.name in work else 150.0
             )
             for t in day["tariffs"]
@@ -213,8 +213,8 @@
 def _effects(book: Book, told: Figures) -> Iterable[Fault]:
     """Rule 2: no effect twice, and no nack that promises too much."""
     for request, some in book.received.items():
-        tariff = told.tariffs[some[0]["f"]]
-        if tariff.effect == "harmless":
+        request_class = told.request_classes[some[0]["f"]]
+        if request_class.effect == "harmless":
             continue
         some = sorted(some, key=lambda line: line["n"])
         key = (some[0]["m"], some[0]["r"], request[0])
@@ -223,7 +223,7 @@
             for later in some[i + 1 :]:
                 if proved <= sent(later):
                     continue
-                if tariff.effect == "one-shot":
+                if request_class.effect == "one-shot":
                     yield Fault(
                         2,
                         later["t"],
@@ -232,7 +232,7 @@
                         f"{earlier['n']} may have run at {earlier['ex']}",
                         [earlier, later],
                     )
-                elif not _same_group(book, tariff.scope, earlier["ex"], later["ex"]):
+                elif not _same_group(book, request_class.scope, earlier["ex"], later["ex"]):
                     yield Fault(
                         2,
                         later["t"],
@@ -243,7 +243,7 @@
                     )
                 elif sent(later) > earlier[
                     "t"
-                ] + tariff.window_ms + told.slack_ms and not book.late_by_itself(later):
+                ] + request_class.window_ms + told.slack_ms and not book.late_by_itself(later):
                     yield Fault(
                         2,
                         later["t"],
@@ -257,7 +257,7 @@
             end is not None
             and end["k"] == "answer"
             and end["o"] == "nacked"
-            and (tariff.effect == "one-shot" or tariff.scope != "all")
+            and (request_class.effect == "one-shot" or request_class.scope != "all")
         ):
             for line in some:
                 if book.proofs.get((request, line["n"]), float("inf")) > end["t"]:
@@ -265,7 +265,7 @@
                         2,
                         end["t"],
                         _name(key),
-                        f"{tariff.effect}: nacked though transmission {line['n']} "
+                        f"{request_class.effect}: nacked though transmission {line['n']} "
                         f"may have run at {line['ex']}",
                         [line, end],
                     )
@@ -343,7 +343,7 @@
         age = line["t"] - up["t"]
         if age >= told.cold_warm_ms:
             break
-        work = told.tariffs[line["f"]].mean_work_ms
+        work = told.request_classes[line["f"]].mean_work_ms
         knows = any(t <= line["t"] for t, _ in informed.get((line["fe"], up["ex"]), ()))
         works.append((work, knows))
         total, knowing = total + work, knowing + work * knows
--- a/petrelway/settings/days.py
+++ b/petrelway/settings/days.py
@@ -18,7 +18,7 @@
     Share,
     Some,
     Strict,
-    TariffTerms,
+    RequestClassTerms,
     WhatIsPermitted,
 )
 from .reading import Fault, SettingsFault, evaluate, sections
@@ -107,7 +107,7 @@
 
 
 class Work(Strict):
-    """What requests cost: by tariff, on a core of speed 1."""
+    """What requests cost: by request class, on a core of speed 1."""
 
     mean_ms: Some = 150.0
     cv: Annotated[float, Meta(ge=0, le=5)] = 0.7
@@ -116,7 +116,7 @@
 
 class Traffic(Strict):
     rate: Annotated[float, Meta(gt=0, le=100_000)]
-    shares: dict[str, Share] = {}  # by tariff; left out: equal
+    shares: dict[str, Share] = {}  # by request class; left out: equal
     work: dict[str, Work] = {}
     hint_cv: Annotated[float, Meta(ge=0, le=5)] = 0.4
     retries: Count = 1
@@ -159,7 +159,7 @@
     size: Annotated[float, Meta(ge=0)] = 1.0
     extra: Annotated[float, Meta(ge=0)] = 0.0
     how: str = ""
-    which: Count = 0  # hall, customer or tariff by number
+    which: Count = 0  # hall, customer or request class by number
     on: list[Count] = []  # executors or front ends by number; left out: drawn
 
 
@@ -191,7 +191,7 @@
     "roster": RosterTerms,
     "network": NetworkTerms,
     "rules": RulesFigures,
-    "tariffs": Annotated[list[TariffTerms], Meta(min_length=1, max_length=20)],
+    "tariffs": Annotated[list[RequestClassTerms], Meta(min_length=1, max_length=20)],
     "customers": Annotated[list[CustomerShare], Meta(min_length=1, max_length=100)],
     "permits": WhatIsPermitted,
     "keeping": HowCopiesAreKept,
@@ -245,12 +245,16 @@
     found.setdefault("troubles", [])
     found.setdefault("fleet_troubles", [])
     faults = []
-    tariffs = {t.name for t in found["tariffs"]}
+    request_classes = {t.name for t in found["tariffs"]}
     for section in ("shares", "work"):
         for name in getattr(found["traffic"], section):
-            if name not in tariffs:
+            if name not in request_classes:
                 faults.append(
-                    Fault(f"traffic.{section}.{name}", "that tariff", "one of " + ", ".join(sorted(tariffs)))
+                    Fault(
+                        f"traffic.{section}.{name}",
+                        "that tariff",
+                        "one of " + ", ".join(sorted(request_classes)),
+                    )
                 )
     fleet = found["fleet"]
     for i, trouble in enumerate(found["troubles"]):
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -44,7 +44,7 @@
     machines: list[Name] = []
 
 
-class TariffTerms(Strict):
+class RequestClassTerms(Strict):
     name: Name
     effect: Literal["harmless", "stamped", "one-shot"]
     quoted_ms: Some
@@ -147,7 +147,7 @@
     "listen": Listen,
     "roster": Listen,
     "fleet": Fleet,
-    "tariffs": Annotated[list[TariffTerms], Meta(min_length=1, max_length=100)],
+    "tariffs": Annotated[list[RequestClassTerms], Meta(min_length=1, max_length=100)],
     "customers": Annotated[list[CustomerShare], Meta(max_length=10_000)],
     "functions": Annotated[list[FunctionEntry], Meta(min_length=1, max_length=100_000)],
     "permits": WhatIsPermitted,
--- a/petrelway/settings/worker.py
+++ b/petrelway/settings/worker.py
@@ -53,7 +53,7 @@
 
 
 class MarkWindow(Strict):
-    tariff: Name
+    request_class: Name = field(name="tariff")
     window_ms: Some
 
 
@@ -80,9 +80,11 @@
     seen: set[str] = set()
     faults = []
     for i, mark in enumerate(found["stamped"]):
-        if mark.tariff in seen:
-            faults.append(Fault(f"stamped[{i}].tariff", repr(mark.tariff), "a tariff not named before"))
-        seen.add(mark.tariff)
+        if mark.request_class in seen:
+            faults.append(
+                Fault(f"stamped[{i}].tariff", repr(mark.request_class), "a tariff not named before")
+            )
+        seen.add(mark.request_class)
     if faults:
         raise SettingsFault(file, faults)
     return found
--- a/petrelway/standin/clients.py
+++ b/petrelway/standin/clients.py
@@ -111,7 +111,7 @@
 
     def go(self) -> None:
         c = self.clients
-        self.left_ms = c.manners.left_ms(self.asked.tariff, c.now() - self.first_ms)
+        self.left_ms = c.manners.left_ms(self.asked.request_class, c.now() - self.first_ms)
         if not self.left_ms:
             return
         found = c.pools[self.front].get()
@@ -126,7 +126,10 @@
         body = json.dumps(
             {"work_ms": round(asked.work_ms, 3), "io_ms": asked.io_ms, "try": self.turn}
         ).encode()
-        tariff, customer = c.day["tariffs"][asked.tariff].name, c.day["customers"][asked.customer].name
+        request_class, customer = (
+            c.day["tariffs"][asked.request_class].name,
+            c.day["customers"][asked.customer].name,
+        )
         head = [
             ("host", "petrelway"),
             ("content-type", "application/json"),
@@ -135,7 +138,7 @@
             ("ce-id", self.id),
             ("ce-source", c.source),
             ("ce-type", "trigger"),
-            ("ce-tariff", tariff),
+            ("ce-tariff", request_class),
             ("ce-customer", customer),
             ("ce-function", asked.function.name),
             ("ce-timeleft", f"{self.left_ms:.1f}"),
@@ -150,7 +153,7 @@
             m=f"{c.source}\n{self.id}",
             r=self.turn,
             fe=f"front-{self.front}",
-            f=tariff,
+            f=request_class,
             c=customer,
             fn=asked.function.name,
             left=round(self.left_ms, 3),
@@ -186,7 +189,7 @@
             w=headers.get("petrelway-warmth", ""),
         )
         advised = float(headers.get("petrelway-retry-ms", 0) or 0)
-        c.again(self, c.manners.after_answer(outcome, advised, self.asked.tariff, self.turn))
+        c.again(self, c.manners.after_answer(outcome, advised, self.asked.request_class, self.turn))
 
     def lost(self) -> None:
         if self.over:
@@ -195,7 +198,7 @@
         self.timer.cancel()
         c = self.clients
         c.record.note("lost", id=self.id, r=self.turn, fe=f"front-{self.front}")
-        c.again(self, c.manners.after_lost(self.asked.tariff, self.turn))
+        c.again(self, c.manners.after_lost(self.asked.request_class, self.turn))
 
     def _leave(self, impatient: bool) -> None:
         self.over = True
@@ -237,7 +240,7 @@
             self.record.note(
                 "due",
                 m=f"{self.source}\nt{self.serial}",
-                f=self.day["tariffs"][asked.tariff].name,
+                f=self.day["tariffs"][asked.request_class].name,
                 c=self.day["customers"][asked.customer].name,
                 w=round(asked.work_ms, 3),
                 at=round(self.next_ms - self.epoch_ms, 3),
--- a/petrelway/standin/life.py
+++ b/petrelway/standin/life.py
@@ -126,7 +126,7 @@
         function: str,
         memory_mb: float,
         lanes: int,
-        tariff: str,
+        request_class: str,
         customer: str,
         remaining_ms: float,
         work_ms: float,
@@ -143,15 +143,15 @@
             n=number,
             m=mark,
             r=turn,
-            f=tariff,
+            f=request_class,
             fn=function,
             **self._sent(wire),
         )
-        self.weigh(tariff)
+        self.weigh(request_class)
         m = self.machine
         if m is None:
             return
-        stamped = tariff in self.stamped
+        stamped = request_class in self.stamped
         until_ms = m.now() + remaining_ms
         m.take(
             Work(
@@ -186,13 +186,13 @@
     def _sent(self, wire: Wire) -> dict[str, float]:
         return {"sent": round(wire.sent_ms - self.epoch_ms, 3)} if wire.sent_ms else {}
 
-    def weigh(self, tariff: str) -> None:
+    def weigh(self, request_class: str) -> None:
         """Rule 4 as the executor feels it: pushed over its multiple for the span, it falls and stays down."""
         cold, m = self.day["cold"], self.machine
         if m is None or m.capacity() >= 1.0 and not self.weighed:
             return
         now = self.clock.seconds() * 1e3
-        self.weighed.append((now, self.mean_work[tariff]))
+        self.weighed.append((now, self.mean_work[request_class]))
         while self.weighed[0][0] < now - cold.span_ms:
             self.weighed.popleft()
         room = cold.multiple * m.capacity() * self.kind.cores * self.post.speed * cold.span_ms
--- a/petrelway/standin/manners.py
+++ b/petrelway/standin/manners.py
@@ -19,12 +19,12 @@
     """Clients of one process; `fronts` front ends to choose from."""
 
     def __init__(self, day: dict[str, Any], fronts: int, chance: random.Random) -> None:
-        self.traffic, self.tariffs = day["traffic"], day["tariffs"]
+        self.traffic, self.request_classes = day["traffic"], day["tariffs"]
         self.grace_ms, self.fronts, self.chance = day["day"].grace_ms, fronts, chance
 
-    def left_ms(self, tariff: int, since_first_ms: float) -> float:
+    def left_ms(self, request_class: int, since_first_ms: float) -> float:
         """The time that a try is given; 0 if there is too little to begin one."""
-        outer_ms = self.tariffs[tariff].outer_ms
+        outer_ms = self.request_classes[request_class].outer_ms
         left = min(outer_ms * self.traffic.try_share, outer_ms - since_first_ms)
         return left if left > LEAST_LEFT_MS else 0.0
 
@@ -34,18 +34,18 @@
             return left_ms * self.chance.random(), True
         return left_ms + self.grace_ms + LONG_MS, False
 
-    def after_answer(self, outcome: str, advised_ms: float, tariff: int, turn: int) -> Again | None:
+    def after_answer(self, outcome: str, advised_ms: float, request_class: int, turn: int) -> Again | None:
         if outcome == "fulfilled":
             return None
         honours = advised_ms and self.chance.random() < self.traffic.honour
         wait_ms = advised_ms if honours else self.traffic.backoff_ms
         # a broken-off one may have run: only a harmless one is tried again
-        if outcome == "nacked" or self.tariffs[tariff].effect == "harmless":
+        if outcome == "nacked" or self.request_classes[request_class].effect == "harmless":
             return self._again(turn, wait_ms, False, self.traffic.retries)
         return None
 
-    def after_lost(self, tariff: int, turn: int) -> Again | None:
-        if self.tariffs[tariff].effect != "harmless":
+    def after_lost(self, request_class: int, turn: int) -> Again | None:
+        if self.request_classes[request_class].effect != "harmless":
             return None
         return self._again(turn, SOON_MS, True, self.traffic.retries)
 
--- a/petrelway/standin/traffic.py
+++ b/petrelway/standin/traffic.py
@@ -17,13 +17,13 @@
     lanes: int
     fetch_ms: float
     start_ms: float
-    pace: float  # its work, times the tariff's mean
+    pace: float  # its work, times the request class's mean
 
 
 class Asked(NamedTuple):
     """One request of a client, before its first try; times in ms."""
 
-    tariff: int
+    request_class: int
     customer: int
     function: FunctionTruth
     front: int
@@ -56,20 +56,20 @@
 
     def __init__(self, day: dict[str, Any], chance: random.Random, of: int) -> None:
         self.day, self.chance = day, chance
-        self.traffic, self.tariffs, self.fleet = day["traffic"], day["tariffs"], day["fleet"]
+        self.traffic, self.request_classes, self.fleet = day["traffic"], day["tariffs"], day["fleet"]
         self.rate = self.traffic.rate / of / 1e3  # a ms
         self.functions = functions(day)
         weights = [1.0 / (i + 1) ** day["functions"].zipf for i in range(len(self.functions))]
         self.popular = list(itertools.accumulate(weights))
         self.shares = [
-            self.traffic.shares.get(t.name, 0.0 if self.traffic.shares else 1.0) for t in self.tariffs
+            self.traffic.shares.get(t.name, 0.0 if self.traffic.shares else 1.0) for t in self.request_classes
         ]
         self.portions = [c.portion for c in day["customers"]]
         halls = len(self.fleet.halls)
         self.fronts = [[f for f in range(self.fleet.fronts) if f % halls == h] for h in range(halls)]
         self.halls = [float(len(f)) for f in self.fronts]
         self.burst, self.scan, self.once = 1.0, 0.0, 0
-        self.heavy = (1.0, 0.0, 0)  # times, share, tariff
+        self.heavy = (1.0, 0.0, 0)  # times, share, request class
         self.moving = (0.0, 0.0, 0.0, 0)  # from, until, share, hall
 
     def happen(self, h: Happening, now: float) -> None:
@@ -79,7 +79,9 @@
             self.scan = h.size if h.what == "scan" else 0.0
         elif h.what in ("heavy tail", "end heavy tail"):
             self.heavy = (
-                (h.size, h.extra, h.which % len(self.tariffs)) if h.what == "heavy tail" else (1.0, 0.0, 0)
+                (h.size, h.extra, h.which % len(self.request_classes))
+                if h.what == "heavy tail"
+                else (1.0, 0.0, 0)
             )
         elif h.what == "shift":
             self.moving = (now, now + 1000.0, h.size, h.which % len(self.halls))
@@ -90,24 +92,24 @@
 
     def draw(self, now: float) -> Asked:
         chance = self.chance
-        tariff = chance.choices(range(len(self.shares)), self.shares)[0]
+        request_class = chance.choices(range(len(self.shares)), self.shares)[0]
         customer = chance.choices(range(len(self.portions)), self.portions)[0]
         if chance.random() < self.scan:
             self.once += 1
             f = FunctionTruth(f"once-{chance.getrandbits(40):x}", 300.0, 4, 350.0, 150.0, 1.0)
         else:
             f = self.functions[bisect.bisect_left(self.popular, chance.random() * self.popular[-1])]
-        work = self.traffic.work.get(self.tariffs[tariff].name)
+        work = self.traffic.work.get(self.request_classes[request_class].name)
         mean, cv, io = (work.mean_ms, work.cv, work.io_ms) if work else (150.0, 0.7, 0.0)
         sigma = math.sqrt(math.log(1.0 + cv * cv))
         work_ms = mean * f.pace * math.exp(chance.gauss(-sigma * sigma / 2, sigma))
         times, share, heavy = self.heavy
-        if tariff == heavy and chance.random() < share:
+        if request_class == heavy and chance.random() < share:
             work_ms *= times
         hint = (
             work_ms * math.exp(chance.gauss(0.0, self.traffic.hint_cv)) if self.traffic.hint_cv < 4 else 0.0
         )
-        return Asked(tariff, customer, f, self._front(now), work_ms, io, hint)
+        return Asked(request_class, customer, f, self._front(now), work_ms, io, hint)
 
     def _front(self, now: float) -> int:
         begin, end, share, hall = self.moving
--- a/petrelway/terms.py
+++ b/petrelway/terms.py
@@ -19,7 +19,7 @@
     Permits,
     Place,
     Scope,
-    Tariff,
+    RequestClass,
 )
 
 EFFECTS = {"retryable": Effect.HARMLESS, "dedup": Effect.STAMPED, "fragile": Effect.ONE_SHOT}
@@ -30,13 +30,13 @@
     """What one front end is told of its deployment. Times in ms; 0: untold."""
 
     place: Place
-    tariffs: list[Tariff]
+    request_classes: list[RequestClass]
     customers: list[Customer]
     permits: Permits
     keeping: Keeping
     cold: ColdRule
     ration: LoadRation
-    tariff_names: list[str]
+    request_class_names: list[str]
     customer_names: list[str]
     halls: list[str]
     machines: list[str]
@@ -49,7 +49,7 @@
             now,
             seed,
             self.place,
-            self.tariffs,
+            self.request_classes,
             self.customers,
             self.permits,
             self.keeping,
@@ -144,10 +144,10 @@
 LEAST, SECONDS = 1e-6, 1e6  # of a time in seconds that must be one; the longest
 
 
-def _tariff(told: Part) -> Tariff:
+def _request_class(told: Part) -> RequestClass:
     effect = told.word("effect", EFFECTS)
     stamped = effect is Effect.STAMPED
-    return Tariff(
+    return RequestClass(
         effect,
         told.word("dedupScope", SCOPES) if stamped else Scope.ALL,
         told.number("windowS", 1e3, 0.0, SECONDS) if stamped else 0.0,
@@ -172,7 +172,7 @@
     names, halls = [c.name("name") for c in classes], told.names("zones")
     if len(set(names)) < len(names):
         raise told.fault("classes", "names that differ")
-    tariffs = [_tariff(c) for c in classes]
+    request_classes = [_request_class(c) for c in classes]
     customers = [Customer(o.number("portion", default=0.0), o.number("quotaRps", default=0.0)) for o in orgs]
     place = Place(
         told.whole("position", 0, 10**6, 0),
@@ -215,7 +215,7 @@
     )
     return Terms(
         place,
-        tariffs,
+        request_classes,
         customers,
         permits,
         keeping,
--- a/petrelway/worker/desk.py
+++ b/petrelway/worker/desk.py
@@ -149,7 +149,7 @@
         remaining_ms: float,
         body: bytes,
     ) -> None:
-        """A attempt came; `stamped_ms` is how long its mark counts, 0 for a tariff without marks."""
+        """A attempt came; `stamped_ms` is how long its mark counts, 0 for a request class without marks."""
         ask = Ask(front, serial, number, mark, function, mb, lanes, stamped_ms, now + remaining_ms, body)
         if remaining_ms <= 0.0:
             self.counts["came too late"] += 1
--- a/petrelway/worker/repeats.py
+++ b/petrelway/worker/repeats.py
@@ -14,7 +14,7 @@
     """What is known of marks: running with who waits, or done with the answer, until its window is over.
 
     The window counts from when the first try came. An end that was not good forgets the mark: its effect did
-    not happen, or no one knows, and the tariff lets the front end try again.
+    not happen, or no one knows, and the request class lets the front end try again.
 
     >>> repeats = Repeats()
     >>> repeats.came("m", "first", 0.0, 100.0), repeats.came("m", "second", 5.0, 100.0)
--- a/petrelway/worker/serving.py
+++ b/petrelway/worker/serving.py
@@ -94,7 +94,7 @@
         function,
         memory_mb,
         lanes,
-        tariff,
+        request_class,
         customer,
         remaining_ms,
         work_ms,
@@ -104,7 +104,7 @@
         w = self.worker
         if w.record is not None:
             who = {"fe": self.front, "fp": self.process, "s": serial, "n": number}
-            w.note("recv", **who, m=mark, r=_try_of(body), f=tariff, fn=function)
+            w.note("recv", **who, m=mark, r=_try_of(body), f=request_class, fn=function)
         w.tell(
             w.desk.taken,
             self,
@@ -114,7 +114,7 @@
             function,
             memory_mb,
             lanes,
-            w.stamped.get(tariff, 0.0),
+            w.stamped.get(request_class, 0.0),
             remaining_ms,
             body,
         )
--- a/tests/compatibility/forms_platform.py
+++ b/tests/compatibility/forms_platform.py
@@ -109,7 +109,7 @@
 
 def _values(value: Any) -> Any:
     if isinstance(value, Passed):
-        return [value.call.hex(), value.tariff, value.function, value.once, value.body.hex()]
+        return [value.call.hex(), value.request_class, value.function, value.once, value.body.hex()]
     return plain(value)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -14,7 +14,7 @@
     Place,
     Scope,
     Stage,
-    Tariff,
+    RequestClass,
     Verb,
     Warmth,
 )
@@ -42,7 +42,7 @@
             START,
             seed,
             Place(0, peers, 0),
-            [Tariff(effect, scope, 4000.0, 1000.0, 4000.0, 1.0, 0.1)],
+            [RequestClass(effect, scope, 4000.0, 1000.0, 4000.0, 1.0, 0.1)],
             [Customer(0.6, rate), Customer(0.4, rate)],
             Permits(sends, seconds, True, False, False, 500.0),
             Keeping(misses, True, 8000.0, 10000.0, 0.1),
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -476,8 +476,8 @@
     assert not host.fe.under_way
 
 
-def test_one_that_fails_a_tariff_fast_gets_no_more_of_it():
-    """Danger: it always has a free lane and no backlog, and answers to other tariffs heal its pace."""
+def test_one_that_fails_a_request_class_fast_gets_no_more_of_it():
+    """Danger: it always has a free lane and no backlog, and answers to other request classes heal its pace."""
 
     def failing(function_is_known):
         host = Host(2)
@@ -500,7 +500,7 @@
     assert host.fe.choose(t, host.now).listing.executor == 1
     host.fe.executors[1].limit = 0.0  # nobody else has room: still not there
     assert host.fe.choose(t, host.now) is None
-    t.kind = 1  # another tariff may
+    t.kind = 1  # another request class may
     assert host.fe.choose(t, host.now) is e
     host.now += 4000.0  # and in time it is tried again
     t = host.fe.requests[host.take()]
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -12,7 +12,7 @@
 
 PLAYED = [k for k in KINDS if k not in EMULATED_ONLY]
 
-TARIFFS = [
+REQUEST_CLASSES = [
     {"name": "safe", "effect": "harmless", "quoted_ms": 1000, "outer_ms": 3000, "late_share": 0.2},
     {
         "name": "hall",
@@ -60,14 +60,14 @@
             "keep_ms": 5000,
         },
         "functions": {"count": 20, "load_ms": [200, 600]},
-        "tariffs": TARIFFS,
+        "tariffs": REQUEST_CLASSES,
         "customers": [
             {"name": "north", "portion": 0.6, "rate": 30},
             {"name": "south", "portion": 0.4, "rate": 20},
         ],
         "traffic": {
             "rate": rate,
-            "work": {t["name"]: {"mean_ms": 100, "cv": 0.5} for t in TARIFFS},
+            "work": {t["name"]: {"mean_ms": 100, "cv": 0.5} for t in REQUEST_CLASSES},
             "impatient": 0.02,
         },
         "permits": {"transmissions": 4, "longest_retry_ms": 300},
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -17,7 +17,7 @@
     Permits,
     Place,
     Scope,
-    Tariff,
+    RequestClass,
 )
 from petrelway.wire import codec
 from petrelway.wire.listing import Line
@@ -40,7 +40,7 @@
             self.clock.seconds() * 1e3,
             3,
             Place(0, 1, 0),
-            [Tariff(effect, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
+            [RequestClass(effect, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
             [Customer(1.0, 50.0)],
             Permits(sends, True, True, False, False, 500.0),
             Keeping(misses, True, 8000.0, 5000.0, 0.0),
--- a/tests/test_node_door.py
+++ b/tests/test_node_door.py
@@ -31,7 +31,7 @@
             200.0,
         )
 
-    def take(self, passed, tariff, customer, remaining, work, memory, lanes, load):
+    def take(self, passed, request_class, customer, remaining, work, memory, lanes, load):
         def give_up():  # the host answers in its next turn
             self.given_up.append(passed.call)
             self.clock.callLater(0, answer.callback, Answer(BROKEN_OFF))
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -97,7 +97,7 @@
     return said(client[1])[-1]["result"]["serving"]
 
 
-def test_a_request_of_each_tariff_is_served():
+def test_a_request_of_each_request_class_is_served():
     rig = Rig()
     client, pipe = rig.client()
     for number, method in enumerate(("safe", "keyed", "once"), 1):
@@ -110,7 +110,7 @@
 def test_what_is_given_up_is_answered_at_once():
     """Danger: an answer held back on its way out, towards the client's limit (1,500 ms), so that the client
     does not ask again. Each comes in the turn in which the executor's word does, with a time to come back."""
-    # tariff, the executor's word, the error, has a time to come back
+    # request class, the executor's word, the error, has a time to come back
     for method, code, expected, told in (
         ("once", 104, -32010, False),
         ("keyed", 104, -32014, True),
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -47,12 +47,12 @@
 
 
 def test_a_request_is_read_whole():
-    _, (name, number, passed, tariff, customer, remaining, work, memory, lanes, load) = read(
+    _, (name, number, passed, request_class, customer, remaining, work, memory, lanes, load) = read(
         request(7, "keyed", org="bolt", extras="memory_mb:512;lanes:2;load_ms:900;other:1")
     )
-    assert (name, number, tariff, customer, remaining) == ("asked", 7, 1, 1, 1500.0)
+    assert (name, number, request_class, customer, remaining) == ("asked", 7, 1, 1, 1500.0)
     assert (work, memory, lanes, load) == (8.2, 512.0, 2, 900.0)
-    assert (passed.call.hex(), passed.tariff, passed.function) == (CALL, "keyed", FUNCTION)
+    assert (passed.call.hex(), passed.request_class, passed.function) == (CALL, "keyed", FUNCTION)
     assert (passed.once, passed.body, len(passed)) == (ONCE, b"hello", 5)
     _, (_, _, passed, _, _, _, work, memory, lanes, _) = read(
         request(1, bytes=None, work=None, extras=None)
@@ -297,7 +297,11 @@
     told = read_told(configuration())
     assert (told.name, told.address, told.port, told.bus) == ("n0", "127.0.0.1", 8443, ("127.0.0.1", 7070))
     assert (told.seed, told.sockets) == (0x8C1F30D27A5BE964, 256)
-    assert [t.effect for t in told.terms.tariffs] == [Effect.HARMLESS, Effect.STAMPED, Effect.ONE_SHOT]
+    assert [t.effect for t in told.terms.request_classes] == [
+        Effect.HARMLESS,
+        Effect.STAMPED,
+        Effect.ONE_SHOT,
+    ]
     assert (told.terms.streams, told.terms.connect_ms, told.terms.idle_ms) == (4, 250.0, 30_000.0)
     table = [
         (b"{", "not JSON"),
@@ -393,7 +397,7 @@
     for settings, where in table:
         with pytest.raises(TermsFault, match=where):
             read_terms(settings)
-    assert read_terms(SETTINGS).tariffs
+    assert read_terms(SETTINGS).request_classes
     # what the wire page says may be missing, and keys that it does not name
     assert read_terms(without(SETTINGS, "orgs")).customers == []
     assert read_terms(told(later={"x": 1})) == read_terms(SETTINGS)
--- a/tests/test_policy_process.py
+++ b/tests/test_policy_process.py
@@ -110,9 +110,9 @@
             cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
         )  # fmt: skip
 
-    def apply(self, worth, *words, by=4, base=None, silent="serve on", tariffs=None):
+    def apply(self, worth, *words, by=4, base=None, silent="serve on", request_classes=None):
         """Begins a change; `ended` waits for its end."""
-        tree = {**self.terms, "adoption": {"silent": silent}, "tariffs": tariffs or [
+        tree = {**self.terms, "adoption": {"silent": silent}, "tariffs": request_classes or [
             {**t, "worth": worth} for t in self.terms["tariffs"]]}  # fmt: skip
         file = self.folder / f"terms-{worth}.json"
         file.write_text(json.dumps(tree))
@@ -240,10 +240,10 @@
 
 
 def test_a_member_that_cannot_run_under_it_ends_it_everywhere(fleet):
-    """A document that is well formed, and that no front end can run under: two tariffs of one name."""
-    version, tariffs = fleet.version(), fleet.terms["tariffs"]
+    """A document that is well formed, and that no front end can run under: two request classes of one name."""
+    version, request_classes = fleet.version(), fleet.terms["tariffs"]
     file = fleet.folder / "twice.json"
-    file.write_text(json.dumps({**fleet.terms, "tariffs": [*tariffs, tariffs[0]]}))
+    file.write_text(json.dumps({**fleet.terms, "tariffs": [*request_classes, request_classes[0]]}))
     found = fleet.policy("apply", str(file))
     assert "a name not used before" in found.communicate(timeout=30)[1] and found.returncode == 2
     # made from what does not hold yet: nobody is asked
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -176,7 +176,7 @@
 def test_what_is_given_up_is_answered_at_once():
     """Danger: held towards the outer limit, a nack would keep the client from asking again, and looks well on
     the bench. The answer comes in the moment in which the module learns that nothing more can be done."""
-    # tariff, attempts allowed, how each of them ends, the answer, has a time to come back
+    # request class, attempts allowed, how each of them ends, the answer, has a time to come back
     one, stamped, harmless = Effect.ONE_SHOT, Effect.STAMPED, Effect.HARMLESS
     table = [
         (one, Scope.ALL, 5, [Outcome.ERROR], "BREAK_OFF"),
--- a/tests/test_rules_checker.py
+++ b/tests/test_rules_checker.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from petrelway.rules.checker import Figures, TariffRule, judge
+from petrelway.rules.checker import Figures, RequestClassRule, judge
 from petrelway.rules.records import RecordFault, read
 
 TOLD = Figures(
     {
-        "safe": TariffRule("harmless", "all", 0.0, 100.0),
-        "once": TariffRule("one-shot", "all", 0.0, 100.0),
-        "hall": TariffRule("stamped", "hall", 4000.0, 100.0),
-        "all": TariffRule("stamped", "all", 4000.0, 100.0),
+        "safe": RequestClassRule("harmless", "all", 0.0, 100.0),
+        "once": RequestClassRule("one-shot", "all", 0.0, 100.0),
+        "hall": RequestClassRule("stamped", "hall", 4000.0, 100.0),
+        "all": RequestClassRule("stamped", "all", 4000.0, 100.0),
     },
     2000.0,
     4.0,
@@ -31,7 +31,7 @@
 ]
 
 
-def ask(t, id="t1", r=0, fe="f0", tariff="safe", left=1000.0):
+def ask(t, id="t1", r=0, fe="f0", request_class="safe", left=1000.0):
     return {
         "t": t,
         "k": "ask",
@@ -39,7 +39,7 @@
         "m": f"/gateway/0\n{id}",
         "r": r,
         "fe": fe,
-        "f": tariff,
+        "f": request_class,
         "c": "c",
         "left": left,
         "w": 100.0,
@@ -62,7 +62,7 @@
     }
 
 
-def recv(t, n=0, ex="e0", id="t1", r=0, fe="f0", s=1, tariff="safe", p="q", fp="p"):
+def recv(t, n=0, ex="e0", id="t1", r=0, fe="f0", s=1, request_class="safe", p="q", fp="p"):
     return {
         "t": t,
         "k": "recv",
@@ -74,7 +74,7 @@
         "n": n,
         "m": f"/gateway/0\n{id}",
         "r": r,
-        "f": tariff,
+        "f": request_class,
         "fn": "f",
     }
 
@@ -130,17 +130,22 @@
     [ask(100), spell(300, "kill"), spell(900, "front started"), end(1400, "unanswered")],
     [ask(100), spell(800, "stop"), spell(1900, "go on"), end(1905)],  # it stood stopped when the time was up
     [
-        ask(100, tariff="once"),
-        recv(110, tariff="once"),
+        ask(100, request_class="once"),
+        recv(110, request_class="once"),
         proof(120),
-        recv(130, 1, "e1", tariff="once"),
+        recv(130, 1, "e1", request_class="once"),
         end(200),
     ],
-    [ask(100, tariff="once"), recv(110, tariff="once"), proof(120, o=8), end(200, o="nacked")],
-    [ask(100, tariff="once"), recv(110, tariff="once"), end(200, o="broken off")],
-    [ask(100, tariff="hall"), recv(110, tariff="hall"), recv(400, 1, "e1", tariff="hall"), end(500)],
-    [ask(100, tariff="all"), recv(110, tariff="all"), end(200, o="nacked")],
-    [told(100, [READY], True), told(1000, [DRAIN]), recv(2900, tariff="safe"), ask(2890), end(2950)],
+    [ask(100, request_class="once"), recv(110, request_class="once"), proof(120, o=8), end(200, o="nacked")],
+    [ask(100, request_class="once"), recv(110, request_class="once"), end(200, o="broken off")],
+    [
+        ask(100, request_class="hall"),
+        recv(110, request_class="hall"),
+        recv(400, 1, "e1", request_class="hall"),
+        end(500),
+    ],
+    [ask(100, request_class="all"), recv(110, request_class="all"), end(200, o="nacked")],
+    [told(100, [READY], True), told(1000, [DRAIN]), recv(2900, request_class="safe"), ask(2890), end(2950)],
     [told(100, [READY], True), told(1000, [DRAIN]), told(1500, [READY]), *[ask(9000), recv(9010), end(9100)]],
     [
         told(1000, [DRAIN]),
@@ -177,15 +182,20 @@
     (
         2,
         "may have run",
-        [ask(100, tariff="once"), recv(110, tariff="once"), recv(300, 1, "e1", tariff="once"), end(400)],
+        [
+            ask(100, request_class="once"),
+            recv(110, request_class="once"),
+            recv(300, 1, "e1", request_class="once"),
+            end(400),
+        ],
     ),
     (
         2,
         "may have run",
         [
-            ask(100, tariff="once"),
-            recv(110, tariff="once"),
-            recv(300, 1, "e1", tariff="once"),
+            ask(100, request_class="once"),
+            recv(110, request_class="once"),
+            recv(300, 1, "e1", request_class="once"),
             proof(310),
             end(400),
         ],
@@ -194,30 +204,43 @@
         2,
         "may have run",
         [
-            ask(100, tariff="once"),
-            recv(110, tariff="once"),
+            ask(100, request_class="once"),
+            recv(110, request_class="once"),
             proof(120, o=1),
-            recv(300, 1, "e1", tariff="once"),
+            recv(300, 1, "e1", request_class="once"),
             end(400),
         ],
     ),  # an error proves nothing
-    (2, "nacked though", [ask(100, tariff="once"), recv(110, tariff="once"), end(200, o="nacked")]),
+    (
+        2,
+        "nacked though",
+        [ask(100, request_class="once"), recv(110, request_class="once"), end(200, o="nacked")],
+    ),
     (
         2,
         "does not drop repeats",
-        [ask(100, tariff="hall"), recv(110, tariff="hall"), recv(400, 1, "e2", tariff="hall"), end(500)],
+        [
+            ask(100, request_class="hall"),
+            recv(110, request_class="hall"),
+            recv(400, 1, "e2", request_class="hall"),
+            end(500),
+        ],
     ),
     (
         2,
         "forgotten",
         [
-            ask(100, tariff="hall", left=9000.0),
-            recv(110, tariff="hall"),
-            recv(4300, 1, "e1", tariff="hall"),
+            ask(100, request_class="hall", left=9000.0),
+            recv(110, request_class="hall"),
+            recv(4300, 1, "e1", request_class="hall"),
             end(4400),
         ],
     ),
-    (2, "nacked though", [ask(100, tariff="hall"), recv(110, tariff="hall"), end(200, o="nacked")]),
+    (
+        2,
+        "nacked though",
+        [ask(100, request_class="hall"), recv(110, request_class="hall"), end(200, o="nacked")],
+    ),
     (3, "past the grace", [told(100, [READY], True), told(1000, [DRAIN]), ask(3090), recv(3100), end(3150)]),
     (3, "past the grace", [told(100, [READY], True), told(1000, [], True), ask(3090), recv(3100), end(3150)]),
     (3, "an order to load", [told(1000, [DRAIN]), order(4000)]),
--- a/tests/test_worker_process.py
+++ b/tests/test_worker_process.py
@@ -201,7 +201,7 @@
             for payload in self.frames.feed(data):
                 codec.from_executor(payload, self)
 
-    def send(self, body="", function="f", tariff="plain", mark="", left=30000.0, memory=60.0, lanes=2):
+    def send(self, body="", function="f", request_class="plain", mark="", left=30000.0, memory=60.0, lanes=2):
         self.serial += 1
         self.sock.sendall(
             codec.send(
@@ -211,7 +211,7 @@
                 function,
                 memory,
                 lanes,
-                tariff,
+                request_class,
                 "c",
                 left,
                 0.0,
@@ -366,13 +366,17 @@
 def test_repeats_of_a_mark(rig):
     rig.package(lanes=4)
     other = rig.link()
-    first = rig.front.send("sleep 0.5", tariff="marked", mark="m")
-    second = other.send("sleep 0.5", tariff="marked", mark="m")
+    first = rig.front.send("sleep 0.5", request_class="marked", mark="m")
+    second = other.send("sleep 0.5", request_class="marked", mark="m")
     one, two = rig.front.end(first), other.end(second)
     assert one[0] == two[0] == FULFILLED and one[2] == two[2]  # attached: ran once
-    assert other.ask("raise no", tariff="marked", mark="m") == (FULFILLED, FOUND, one[2])  # answered again
-    assert rig.front.ask("raise no", tariff="marked", mark="other")[0] == ERROR
-    assert rig.front.ask("", tariff="marked", mark="other")[0] == FULFILLED  # it had not happened
+    assert other.ask("raise no", request_class="marked", mark="m") == (
+        FULFILLED,
+        FOUND,
+        one[2],
+    )  # answered again
+    assert rig.front.ask("raise no", request_class="marked", mark="other")[0] == ERROR
+    assert rig.front.ask("", request_class="marked", mark="other")[0] == FULFILLED  # it had not happened
 
 
 def test_released_anew_while_calls_run(rig):
