--- a/benchmarks/capacity_front_end_rig.py
+++ b/benchmarks/capacity_front_end_rig.py
@@ -16,7 +16,7 @@
 from petrelway.choice import FrontEnd
 from petrelway.interface import (
     ColdRule,
-    Customer,
+    Tenant,
     Decision,
     Effect,
     Keeping,
@@ -50,7 +50,7 @@
         7,
         Place(0, 1, 0),
         [RequestClass(Effect.HARMLESS, Scope.ALL, 4000.0, 1000.0, DEADLINE_MS, 1.0, 0.1)],
-        [Customer(1.0, TENANT_RATE)],
+        [Tenant(1.0, TENANT_RATE)],
         Permits(3, True, True, False, False, 500.0),
         Keeping(False, True, 30_000.0, 5000.0, 0.0),
         ColdRule(4.0, 1500.0, 0.2, 10_000.0),
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -20,7 +20,7 @@
 from petrelway import choice
 from petrelway.interface import (
     ColdRule,
-    Customer,
+    Tenant,
     Effect,
     Keeping,
     Listing,
@@ -57,7 +57,7 @@
             7,
             Place(0, 1, 0),
             [RequestClass(Effect.HARMLESS, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
-            [Customer(1.0, RATE)],
+            [Tenant(1.0, RATE)],
             Permits(3, True, True, False, False, 500.0),
             Keeping(False, True, 30_000.0, 5000.0, 0.0),
             ColdRule(4.0, 1500.0, 0.2, 10_000.0),
--- a/benchmarks/validate.py
+++ b/benchmarks/validate.py
@@ -23,8 +23,8 @@
     day["day"].update(length_s=seconds, seed=seed)
     day["fleet"].update(fronts=fronts, executors=executors)
     day["traffic"]["rate"] = rate
-    for customer in day["customers"]:
-        customer["rate"] = rate * customer["portion"]
+    for tenant in day["customers"]:
+        tenant["rate"] = rate * tenant["portion"]
     day["troubles"] = [t for t in day["troubles"] if troubles]
     for trouble in day["troubles"]:
         trouble["at_s"] *= seconds / 60.0
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -22,7 +22,7 @@
 from .interface import (
     NEVER_RAN,
     ColdRule,
-    Customer,
+    Tenant,
     Decision,
     Effect,
     Keeping,
@@ -59,7 +59,7 @@
 AILING_PACE = 8.0  # times its kind's usual pace: as slow as any evidence makes an executor
 ERRORS, ERRORS_GAIN = 0.3, 0.15  # past this share of errors it gets no request of that request class ...
 ERRORS_SPAN_MS = 5000.0  # ... until the share has faded
-REFUSED_MS = 100.0  # a full that took longer than this was no full queue, but a limit for this customer ...
+REFUSED_MS = 100.0  # a full that took longer than this was no full queue, but a limit for this tenant ...
 REFUSED_REST_MS = 8000.0  # ... which is respected for this time
 LOOK_AGAIN_MS = 40.0  # a held request is looked at again after this time
 ANSWER_EARLY_MS = 6.0  # the final answer goes out this long before the client's time is up
@@ -189,7 +189,7 @@
         cold = self.cold
         grown = max(0.0, now - e.listing.started_ms) / cold.warm_ms
         part = COLD_MARGIN * cold.multiple * (cold.start_share + (1.0 - cold.start_share) * grown)
-        # danger: a restarted front end has no history; then the customers' shares, which the fleet can
+        # danger: a restarted front end has no history; then the tenants' shares, which the fleet can
         # carry, are split evenly over front ends and executors, and halved
         told = 0.5 * self.share(now) * self.rate(now) / max(1, listed)
         rate = part * max(self.usual.get(e.listing.machine, 0.0), told)
@@ -236,7 +236,7 @@
         seed: int,
         place: Place,
         request_classes: list[RequestClass],
-        customers: list[Customer],
+        tenants: list[Tenant],
         permits: Permits,
         keeping: Keeping,
         cold: ColdRule,
@@ -247,7 +247,7 @@
         self.chance = random.Random(seed)
         self.request_classes, self.permits, self.keeping = request_classes, permits, keeping
         self.gate = Gate(
-            cold, ration, sum(c.rate for c in customers) / 1000.0, 1.0 / max(1, place.peers), self.chance, now
+            cold, ration, sum(c.rate for c in tenants) / 1000.0, 1.0 / max(1, place.peers), self.chance, now
         )
         self.loads, self.loads_cut_ms = LOADS_START, -math.inf
         self.seconds = SECOND_SAVED
@@ -287,7 +287,7 @@
         now: float,
         request: int,
         request_class: int,
-        customer: int,
+        tenant: int,
         function: int,
         remaining_ms: float,
         work_ms: float,
@@ -307,7 +307,7 @@
             patient_until=max(now + terms.quoted_ms, now + PATIENCE * remaining_ms) - LOOK_AGAIN_MS,
         )
         t = Request(
-            request, request_class, terms, self.permits, customer, f, size, now, deadlines, repeat, luck
+            request, request_class, terms, self.permits, tenant, f, size, now, deadlines, repeat, luck
         )
         self.requests[request], t.work_ms = t, work_ms
         self.gate.taken.append(now)
@@ -357,7 +357,7 @@
             e.errors[t.kind] = share + ERRORS_GAIN * (bool(failed) - share), now
         if outcome is Outcome.FULFILLED:
             self._skilled(e, f, now)
-            e.refused.pop(t.customer, None)
+            e.refused.pop(t.tenant, None)
             if self._untimely(now):  # danger: the time of an own stall proves nothing against executors
                 return
             if self.cut_ms == -math.inf and self.out + 1 >= self.limit / 2:
@@ -372,9 +372,9 @@
             if self.keeping.answers_miss and self.keeping.orders and warmth is not Warmth.LOAD_FAILED:
                 self.wanted[f.index] = e
         elif outcome is Outcome.FULL:
-            # danger: some refuse one customer only, and slowly; that says nothing of the rest
+            # danger: some refuse one tenant only, and slowly; that says nothing of the rest
             if took_ms > REFUSED_MS and not self._untimely(now):
-                e.refused[t.customer] = now + REFUSED_REST_MS
+                e.refused[t.tenant] = now + REFUSED_REST_MS
         elif outcome not in (Outcome.WITHDRAWN, Outcome.UNSENT) and warmth is not Warmth.LOAD_FAILED:
             self._doubted(e, now)  # danger: one that fails fast looks idle
 
@@ -471,11 +471,11 @@
             self.attention.append(request)
 
     def terms_told(
-        self, now: float, request_classes: list[RequestClass], customers: list[Customer], permits: Permits
+        self, now: float, request_classes: list[RequestClass], tenants: list[Tenant], permits: Permits
     ) -> None:
         """What is taken from now on goes by these; a request keeps the terms that it was taken under."""
         self.request_classes, self.permits = request_classes, permits
-        self.gate.rate_told(self.clock.enter(now), sum(c.rate for c in customers) / 1000.0)
+        self.gate.rate_told(self.clock.enter(now), sum(c.rate for c in tenants) / 1000.0)
 
     def part_told(self, now: float, part: Part) -> None:
         self.clock.enter(now)
@@ -612,7 +612,7 @@
     def _fit(self, t: Request, e: Executor, now: float) -> bool:
         """Whether the rules allow it, and nothing speaks against this executor for this request."""
         index, known = e.listing.executor, t.function.index in e.resume
-        if e.busy >= e.limit or now < e.refused.get(t.customer, now) or index in t.tried:
+        if e.busy >= e.limit or now < e.refused.get(t.tenant, now) or index in t.tried:
             return False
         if t.kind in e.errors and self._errors(e, t.kind, now) > ERRORS:
             return False
--- a/petrelway/choice_state.py
+++ b/petrelway/choice_state.py
@@ -69,7 +69,7 @@
         kind: int,
         request_class: RequestClass,
         permits: Permits,
-        customer: int,
+        tenant: int,
         function: FunctionState,
         size: float,
         taken_ms: float,
@@ -81,7 +81,7 @@
         self.kind = kind  # the request class's index
         self.request_class = request_class
         self.permits = permits
-        self.customer = customer
+        self.tenant = tenant
         self.function = function
         self.size = size
         self.work_ms = 0.0  # 0: no work told
@@ -122,7 +122,7 @@
         self.paced_ms = -math.inf
         self.cut_ms = -math.inf
         self.weigh(0, limit)
-        self.refused: dict[int, float] = {}  # customer -> until when
+        self.refused: dict[int, float] = {}  # tenant -> until when
         self.errors: dict[int, tuple[float, float]] = {}  # request class -> share of errors, when
         self.cold_sends: deque[float] = deque()
         for index in tuple(self.orders):
--- a/petrelway/commands/policies.py
+++ b/petrelway/commands/policies.py
@@ -29,7 +29,7 @@
 
 @click.group()
 def policy() -> None:
-    """The terms that all members run under: request classes, customers, permits, functions."""
+    """The terms that all members run under: request classes, tenants, permits, functions."""
 
 
 def seen(console: str, **query: str) -> dict[str, Any]:
--- a/petrelway/console/explainer.py
+++ b/petrelway/console/explainer.py
@@ -24,9 +24,9 @@
     if usual and pace > 2.0 * usual:
         word = "ailing" if pace >= AILING_PACE * usual else "slow"
         avoided.append(f"{word}: {pace / usual:.1f} times its kind's usual pace")
-    for customer, until in e.refused.items():
+    for tenant, until in e.refused.items():
         if until > now:
-            avoided.append(f"refuses customer {customer} for {(until - now) / 1e3:.1f} s more")
+            avoided.append(f"refuses customer {tenant} for {(until - now) / 1e3:.1f} s more")
     cold = fe.gate.is_cold(e, now)
     if cold:
         avoided.append(f"cold: {len(e.cold_sends)} sends counted against rule 4")
--- a/petrelway/console/pages.py
+++ b/petrelway/console/pages.py
@@ -86,7 +86,7 @@
                     "source": short(story.mark.partition("\n")[0]),
                     "id": short(story.mark.partition("\n")[2]),
                     "tariff": story.request_class,
-                    "customer": short(story.customer),
+                    "customer": short(story.tenant),
                     "function": short(story.function),
                     "answer": story.answer or "open",
                     "took ms": round(story.took_ms, 1),
--- a/petrelway/console/telemetry.py
+++ b/petrelway/console/telemetry.py
@@ -23,10 +23,10 @@
 class Story:
     """What happened to one request: times in ms since it was taken."""
 
-    __slots__ = ("mark", "request_class", "customer", "function", "taken_ms", "events", "answer", "took_ms")
+    __slots__ = ("mark", "request_class", "tenant", "function", "taken_ms", "events", "answer", "took_ms")
 
-    def __init__(self, mark: str, request_class: str, customer: str, function: str, taken_ms: float) -> None:
-        self.mark, self.request_class, self.customer, self.function = mark, request_class, customer, function
+    def __init__(self, mark: str, request_class: str, tenant: str, function: str, taken_ms: float) -> None:
+        self.mark, self.request_class, self.tenant, self.function = mark, request_class, tenant, function
         self.taken_ms = taken_ms
         self.events: list[tuple[float, str, str, str]] = []  # when, what, executor, detail
         self.answer, self.took_ms = "", 0.0
@@ -143,9 +143,9 @@
     # -- what the host calls
 
     def taken(
-        self, now: float, serial: int, mark: str, request_class: str, customer: str, function: str
+        self, now: float, serial: int, mark: str, request_class: str, tenant: str, function: str
     ) -> None:
-        story = Story(mark, request_class, customer, function, now)
+        story = Story(mark, request_class, tenant, function, now)
         self.open[serial] = story
         self.stories.append(story)
         gone = self.functions.add(function)
@@ -193,7 +193,7 @@
     # -- what pages read
 
     def service(self, now: float, seconds: int) -> dict[str, Any]:
-        """Share in time and counts, in all and by request class, customer, hall and executor."""
+        """Share in time and counts, in all and by request class, tenant, hall and executor."""
         counts = self.windows.over(now, seconds)
         found: dict[str, Any] = {}
         for (dimension, name, field), count in counts.items():
@@ -233,12 +233,12 @@
         slots[-1][1].record_value(max(1, min(LATENCY_MOST_MS, round(took_ms))))
 
     def _count(self, now: float, story: Story, *fields: str) -> None:
-        customer = self.windows.name("customer", story.customer)
+        tenant = self.windows.name("customer", story.tenant)
         keys = []
         for field in fields:
             keys += [
                 ("all", "", field),
                 ("tariff", story.request_class, field),
-                ("customer", customer, field),
+                ("customer", tenant, field),
             ]
         self.windows.add(now, keys)
--- a/petrelway/daemon/service.py
+++ b/petrelway/daemon/service.py
@@ -96,7 +96,7 @@
     def _adopted(self, told) -> None:
         super()._adopted(told)
         self.telemetry.terms_told(self.made.quoted_ms)
-        self.shedder.told([c.portion for c in self.made.customers])
+        self.shedder.told([c.portion for c in self.made.tenants])
         self.telemetry.changed(self.now(), "terms", f"version {told.version} ({told.digest})")
 
     def _roll(self):
@@ -114,7 +114,7 @@
             yield None if self.lines.ship() else HOUSEKEEPING_MS
 
     def _guard(self, ask: Ask) -> float:
-        return self.shedder.ask(self.now(), ask.customer, ask.repeat)
+        return self.shedder.ask(self.now(), ask.tenant, ask.repeat)
 
     def _lag_seen(self, lag_ms: float) -> None:
         before = self.shedder.step
--- a/petrelway/daemon/shedding.py
+++ b/petrelway/daemon/shedding.py
@@ -7,8 +7,8 @@
 | 0 | - | nothing |
 | 1 | 0.8 | live pages slow down |
 | 2 | 1.0 | repeats of requests are nacked |
-| 3 | 1.2 | requests of customers over their share are nacked |
-| 4 | 1.5 | of all others a part is nacked, the same part of each customer's share |
+| 3 | 1.2 | requests of tenants over their share are nacked |
+| 4 | 1.5 | of all others a part is nacked, the same part of each tenant's share |
 | 5 | 2.0 | all are nacked |
 """
 
@@ -22,9 +22,9 @@
 
 FROM = (0.0, 0.8, 1.0, 1.2, 1.5, 2.0)  # pressure from which a step acts ...
 BACK = 0.85  # ... and the part of it under which it ends: a step must not flutter
-SPAN_MS = 2000.0  # over which customers' traffic is averaged
+SPAN_MS = 2000.0  # over which tenants' traffic is averaged
 RETRY_MS, RETRY_MOST_MS = 200.0, 5000.0
-OVER = 1.1  # a customer is over its share from so many times it
+OVER = 1.1  # a tenant is over its share from so many times it
 
 
 class Step(IntEnum):
@@ -46,7 +46,7 @@
 
 
 class Shedder:
-    """One daemon's guard. Customers' shares are as told; untold ones count as equal."""
+    """One daemon's guard. Tenants' shares are as told; untold ones count as equal."""
 
     def __init__(
         self,
@@ -63,15 +63,15 @@
         self.chance = chance
         self.pressures = Pressures(0.0, 0.0, 0.0, 0.0)
         self.step = Step.ALL_WELL
-        # decayed counts of what came, each with its time: of each customer, and of all at the end
+        # decayed counts of what came, each with its time: of each tenant, and of all at the end
         self.asked = [(0.0, 0.0)] * (max(1, len(portions)) + 1)
         self.owed: list[float] = [0.0] * max(
             1, len(portions)
-        )  # parts of requests that a customer still may send
+        )  # parts of requests that a tenant still may send
         self.nacked: Counter[str] = Counter()
 
     def told(self, portions: list[float]) -> None:
-        """Other shares; a customer keeps its index, and what it was seen to ask."""
+        """Other shares; a tenant keeps its index, and what it was seen to ask."""
         self.portions = portions if sum(portions) > 0.0 else [1.0] * len(portions)
         more = max(1, len(portions)) - len(self.owed)
         self.asked[-1:-1] = [(0.0, 0.0)] * more
@@ -94,9 +94,9 @@
         """While nothing is taken: the retry time in ms for all, before what they ask is read; else 0."""
         return self._nack("all") if self.step is Step.ALL else 0.0
 
-    def ask(self, now: float, customer: int, repeat: bool) -> float:
+    def ask(self, now: float, tenant: int, repeat: bool) -> float:
         """0 to take it, else the retry time in ms of the nack that it gets at once."""
-        for i in (customer, -1):  # these two alone: a settings file may list thousands of customers
+        for i in (tenant, -1):  # these two alone: a settings file may list thousands of tenants
             self.asked[i] = self._faded(i, now) + 1.0, now
         if self.step < Step.REPEATS:
             return 0.0
@@ -104,9 +104,9 @@
             return self._nack("all")
         if repeat:
             return self._nack("repeat")
-        if self.step >= Step.OVER_SHARE and self.over(customer, now):
+        if self.step >= Step.OVER_SHARE and self.over(tenant, now):
             return self._nack("over share")
-        if self.step >= Step.FAIR_PART and not self._part(customer):
+        if self.step >= Step.FAIR_PART and not self._part(tenant):
             return self._nack("fair part")
         return 0.0
 
@@ -114,20 +114,20 @@
         count, at = self.asked[i]
         return count * math.exp(min(0.0, at - now) / SPAN_MS)
 
-    def over(self, customer: int, now: float) -> bool:
+    def over(self, tenant: int, now: float) -> bool:
         """Whether it sends more than its share of what comes; alone, nobody is."""
         total = self._faded(-1, now)
-        share = self.portions[customer] / sum(self.portions) if self.portions else 1.0
-        return total >= 10.0 and len(self.portions) > 1 and self._faded(customer, now) > OVER * share * total
+        share = self.portions[tenant] / sum(self.portions) if self.portions else 1.0
+        return total >= 10.0 and len(self.portions) > 1 and self._faded(tenant, now) > OVER * share * total
 
-    def _part(self, customer: int) -> bool:
+    def _part(self, tenant: int) -> bool:
         """Of each request as much is taken as the pressure leaves; whole ones by saving up, not by luck."""
         worst = max(self.pressures)
-        self.owed[customer] += max(
+        self.owed[tenant] += max(
             0.0, min(1.0, (FROM[Step.ALL] - worst) / (FROM[Step.ALL] - FROM[Step.FAIR_PART]))
         )
-        if self.owed[customer] >= 1.0:
-            self.owed[customer] -= 1.0
+        if self.owed[tenant] >= 1.0:
+            self.owed[tenant] -= 1.0
             return True
         return False
 
--- a/petrelway/drill/codec.py
+++ b/petrelway/drill/codec.py
@@ -41,7 +41,7 @@
         """Hand one event to the module as a call."""
         kind, front_end = item[0], self.front_end
         if kind == "knock":
-            rid, start_ms, cost_s, ttl_s, lanes, fn, request_class, customer, marks, memory = item[2:12]
+            rid, start_ms, cost_s, ttl_s, lanes, fn, request_class, tenant, marks, memory = item[2:12]
             function, new = self.functions.enter(fn)
             if new:
                 front_end.function_named(now, function, str(fn), memory or 0.0, lanes or 1, start_ms or 0.0)
@@ -53,7 +53,7 @@
                 now,
                 request,
                 request_class or 0,
-                customer or 0,
+                tenant or 0,
                 function,
                 (ttl_s or 0.0) * 1e3,
                 hinted * 1e3,
--- a/petrelway/emulator/clients.py
+++ b/petrelway/emulator/clients.py
@@ -53,7 +53,7 @@
             r=self.turn,
             fe=name,
             f=c.request_classes[asked.request_class],
-            c=c.customers[asked.customer],
+            c=c.tenants[asked.tenant],
             fn=asked.function.name,
             left=round(self.left_ms, 3),
             w=round(asked.work_ms, 3),
@@ -71,7 +71,7 @@
         c, asked, f = self.clients, self.asked, self.asked.function
         self.leave = self.at.take(
             asked.request_class,
-            asked.customer,
+            asked.tenant,
             Function(f.name, f.memory_mb, f.lanes, 0.0),
             f"{c.source}\n{self.id}",
             self.left_ms,
@@ -147,7 +147,7 @@
         self.traffic = Traffic(day, self.chance, day["traffic"].clients)
         self.manners = Manners(day, day["fleet"].fronts, self.chance)
         self.request_classes = [t.name for t in day["tariffs"]]
-        self.customers = [c.name for c in day["customers"]]
+        self.tenants = [c.name for c in day["customers"]]
         self.source, self.serial, self.epoch_ms = f"/gateway/{number}", 0, epoch_ms
         self.open: dict[int, dict[Attempt, None]] = {}
         self.next_ms = epoch_ms + self.traffic.wait()
@@ -173,7 +173,7 @@
             "due",
             m=f"{self.source}\nt{self.serial}",
             f=self.request_classes[asked.request_class],
-            c=self.customers[asked.customer],
+            c=self.tenants[asked.tenant],
             w=round(asked.work_ms, 3),
             at=round(self.next_ms - self.epoch_ms, 3),
         )
--- a/petrelway/emulator/experiment.py
+++ b/petrelway/emulator/experiment.py
@@ -151,11 +151,11 @@
 
 
 def put(file: str, tree: Any, path: str, value: Any) -> None:
-    """Set what a path such as `customers.0.rate` names. Raises SettingsFault if there is no such place.
+    """Set what a path such as `tenants.0.rate` names. Raises SettingsFault if there is no such place.
 
-    >>> tree = {"customers": [{"rate": 1}]}
-    >>> put("x", tree, "customers.0.rate", 5); put("x", tree, "traffic.rate", 7); tree
-    {'customers': [{'rate': 5}], 'traffic': {'rate': 7}}
+    >>> tree = {"tenants": [{"rate": 1}]}
+    >>> put("x", tree, "tenants.0.rate", 5); put("x", tree, "traffic.rate", 7); tree
+    {'tenants': [{'rate': 5}], 'traffic': {'rate': 7}}
     """
     *way, last = path.split(".")
     at = tree
--- a/petrelway/emulator/fronts.py
+++ b/petrelway/emulator/fronts.py
@@ -126,7 +126,7 @@
     def take(
         self,
         request_class: int,
-        customer: int,
+        tenant: int,
         function: Function,
         mark: str,
         remaining_ms: float,
@@ -138,7 +138,7 @@
         """A client's try has come. `truth` goes to the executor: work, waiting, number of the try. What is
         returned says that the client is gone."""
         answer = self.host.take(
-            request_class, customer, function, mark, remaining_ms, hint_ms, repeat, "", Truth(truth)
+            request_class, tenant, function, mark, remaining_ms, hint_ms, repeat, "", Truth(truth)
         )
         answer.addCallbacks(answered, lambda f: f.trap(defer.CancelledError))
         return answer.cancel
--- a/petrelway/emulator/links.py
+++ b/petrelway/emulator/links.py
@@ -199,7 +199,7 @@
         memory_mb: float,
         lanes: int,
         request_class: str,
-        customer: str,
+        tenant: str,
         remaining_ms: float,
         work_ms: float,
         content_type: str,
@@ -218,7 +218,7 @@
         self.out[key] = None
         real_ms, io_ms, turn = body
         wire.say(wire.life.receive, wire, *key, mark, turn, function, memory_mb, lanes, request_class,
-            customer, remaining_ms, real_ms, io_ms)  # fmt: skip
+            tenant, remaining_ms, real_ms, io_ms)  # fmt: skip
 
     def withdraw(self, key: Key, outcome: Outcome = Outcome.WITHDRAWN) -> Outcome | None:
         if key in self.dialling:
--- a/petrelway/front/ask.py
+++ b/petrelway/front/ask.py
@@ -1,4 +1,4 @@
-"""From an event to what the host takes, without I/O: request class, customer, function, time, hint, repeat."""
+"""From an event to what the host takes, without I/O: request class, tenant, function, time, hint, repeat."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 class Ask(NamedTuple):
     request_class: int
-    customer: int
+    tenant: int
     function: Function
     mark: str
     remaining_ms: float
@@ -46,17 +46,17 @@
     def __init__(
         self,
         request_classes: Mapping[str, float],
-        customers: Sequence[str],
+        tenants: Sequence[str],
         catalogue: Catalogue,
         places: Mapping[str, int] | None = None,
         names: Mapping[str, int] | None = None,
     ) -> None:
-        """`places` and `names`: the indices of request classes and customers; else in their order."""
+        """`places` and `names`: the indices of request classes and tenants; else in their order."""
         self.request_classes = {
             name: (places[name] if places else i, outer_ms)
             for i, (name, outer_ms) in enumerate(request_classes.items())
         }
-        self.customers = {name: names[name] if names else i for i, name in enumerate(customers)}
+        self.tenants = {name: names[name] if names else i for i, name in enumerate(tenants)}
         self.catalogue = catalogue
 
     def read(self, event: Event) -> Ask:
@@ -66,9 +66,9 @@
             raise EventFault(422, "tariff", repr(name), "one of " + ", ".join(self.request_classes))
         request_class, outer_ms = self.request_classes[name]
         name = told.get("customer", "")
-        if self.customers and name not in self.customers:
+        if self.tenants and name not in self.tenants:
             raise EventFault(422, "customer", repr(name), "one that the settings list")
-        customer = self.customers.get(name, 0)
+        tenant = self.tenants.get(name, 0)
         name = told.get("function", "")
         function = self.catalogue.find(name) if name else None
         if function is None:
@@ -85,7 +85,7 @@
             raise EventFault(400, "id", f"{len(mark)} characters with source", "512 at most")
         return Ask(
             request_class,
-            customer,
+            tenant,
             function,
             mark,
             remaining_ms,
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -16,7 +16,7 @@
 
 from ..choice import FrontEnd
 from ..indices import Ids
-from ..interface import Customer, Decision, Listing, Outcome, Permits, Stage, RequestClass, Verb, Warmth
+from ..interface import Tenant, Decision, Listing, Outcome, Permits, Stage, RequestClass, Verb, Warmth
 from ..listing import Line
 from ..start_times import StartTimes
 from ..wire import codec
@@ -45,7 +45,7 @@
     """Who looks on. Times in ms; names as outside."""
 
     def taken(
-        self, now: float, serial: int, mark: str, request_class: str, customer: str, function: str
+        self, now: float, serial: int, mark: str, request_class: str, tenant: str, function: str
     ) -> None: ...
 
     def decided(self, now: float, serial: int, what: str, executor: str, detail: str) -> None: ...
@@ -97,7 +97,7 @@
         serial: int,
         mark: str,
         request_class: str,
-        customer: str,
+        tenant: str,
         function: Function,
         outer_ms: float,
         work_ms: float,
@@ -105,7 +105,7 @@
         body: bytes,
     ) -> None:
         self.index, self.serial, self.mark = index, serial, mark
-        self.request_class, self.customer, self.function = request_class, customer, function
+        self.request_class, self.tenant, self.function = request_class, tenant, function
         self.outer_ms, self.work_ms, self.content_type, self.body = outer_ms, work_ms, content_type, body
         self.out: dict[int, Out] = {}
         self.sent = 0
@@ -133,7 +133,7 @@
         name: str,
         process: str,
         request_classes: list[str],
-        customers: list[str],
+        tenants: list[str],
         halls: list[str],
         machines: list[str],
         order_timeout_ms: float,
@@ -149,7 +149,7 @@
         self.unix_ahead_s, self.starts = unix_ahead_s, StartTimes()
         self.link = link
         self.clock, self.front_end, self.name, self.process = clock, front_end, name, process
-        self.request_classes, self.customers = request_classes, customers
+        self.request_classes, self.tenants = request_classes, tenants
         self.order_timeout_ms, self.connect, self.chance, self.log = order_timeout_ms, connect, chance, log
         self.meter, self.deciding_s = meter, 0.0
         self.requests, self.executors, self.functions = Ids(), Ids(), Ids()
@@ -178,17 +178,17 @@
     # -- inputs
 
     def terms_told(
-        self, request_classes: list[RequestClass], customers: list[Customer], names: list[str], customer_names: list[str],
+        self, request_classes: list[RequestClass], tenants: list[Tenant], names: list[str], tenant_names: list[str],
         permits: Permits,
     ) -> None:  # fmt: skip
         """From now on requests are taken under these; indices keep their names."""
-        self.front_end.terms_told(self.now(), request_classes, customers, permits)
-        self.request_classes, self.customers = names, customer_names
+        self.front_end.terms_told(self.now(), request_classes, tenants, permits)
+        self.request_classes, self.tenants = names, tenant_names
 
     def take(
         self,
         request_class: int,
-        customer: int,
+        tenant: int,
         function: Function,
         mark: str,
         remaining_ms: float,
@@ -212,7 +212,7 @@
             self.serial,
             mark,
             self.request_classes[request_class],
-            self.customers[customer] if self.customers else "",
+            self.tenants[tenant] if self.tenants else "",
             function,
             now + remaining_ms,
             work_ms,
@@ -227,10 +227,8 @@
         self.counts["taken"] += 1
         answer = t.answer
         if self.watch is not None:
-            self.watch.taken(now, self.serial, mark, t.request_class, t.customer, function.name)
-        self.front_end.request_taken(
-            now, index, request_class, customer, known, remaining_ms, work_ms, repeat
-        )
+            self.watch.taken(now, self.serial, mark, t.request_class, t.tenant, function.name)
+        self.front_end.request_taken(now, index, request_class, tenant, known, remaining_ms, work_ms, repeat)
         self._soon()
         return answer
 
@@ -508,7 +506,7 @@
             f.memory_mb,
             f.lanes,
             t.request_class,
-            t.customer,
+            t.tenant,
             remaining_ms,
             t.work_ms,
             t.content_type,
--- a/petrelway/front/service.py
+++ b/petrelway/front/service.py
@@ -35,7 +35,7 @@
         seed,
         Place(place.number, place.peers, fleet.halls.index(place.hall)),
         made.request_classes,
-        made.customers,
+        made.tenants,
         made.permits,
         Keeping(
             keeping.answers_miss,
@@ -102,7 +102,7 @@
             place.name,
             process,
             self.made.request_class_names,
-            self.made.customer_names,
+            self.made.tenant_names,
             fleet.halls,
             fleet.machines,
             found["keeping"].order_timeout_ms,
@@ -192,7 +192,7 @@
         """One assignment for each part, in one turn, after all that can fail has been done."""
         made = self.made = told.made[0]
         self.host.terms_told(
-            made.request_classes, made.customers, made.request_class_names, made.customer_names, made.permits
+            made.request_classes, made.tenants, made.request_class_names, made.tenant_names, made.permits
         )
         self.intake.asks = made.asks
 
@@ -207,7 +207,7 @@
                       m=ask.mark)  # fmt: skip
         return self.host.take(
             ask.request_class,
-            ask.customer,
+            ask.tenant,
             ask.function,
             ask.mark,
             ask.remaining_ms,
--- a/petrelway/front/terms.py
+++ b/petrelway/front/terms.py
@@ -4,11 +4,11 @@
 
 from typing import Any, NamedTuple
 
-from ..interface import Customer, Effect, Permits, Scope, RequestClass
+from ..interface import Tenant, Effect, Permits, Scope, RequestClass
 from .ask import Asks, Catalogue
 from .host import Function
 
-PLACES_BOUND = 10_000  # request classes, or customers, that one process may have known
+PLACES_BOUND = 10_000  # request classes, or tenants, that one process may have known
 
 
 class Terms(NamedTuple):
@@ -16,9 +16,9 @@
 
     asks: Asks
     request_classes: list[RequestClass]
-    customers: list[Customer]
+    tenants: list[Tenant]
     request_class_names: list[str]
-    customer_names: list[str]
+    tenant_names: list[str]
     permits: Permits
     quoted_ms: dict[str, float]
     longest_ms: float  # the longest outer limit
@@ -30,7 +30,7 @@
 
 def make(found: dict[str, Any], before: Terms | None = None) -> Terms:
     """From checked sections. A name keeps its index for as long as the process lives: requests that are open
-    name request classes and customers that may be dropped. Raises ValueError past PLACES_BOUND."""
+    name request classes and tenants that may be dropped. Raises ValueError past PLACES_BOUND."""
     request_classes, places = (
         list(before.request_classes) if before else [],
         _places(before and before.request_class_names),
@@ -40,10 +40,10 @@
                         t.late_share)  # fmt: skip
         _put(request_classes, places, t.name, request_class)
     # what was dropped has no share any more
-    customers = [Customer(0.0, 0.0)] * (len(before.customers) if before else 0)
-    names = _places(before and before.customer_names)
+    tenants = [Tenant(0.0, 0.0)] * (len(before.tenants) if before else 0)
+    names = _places(before and before.tenant_names)
     for c in found["customers"]:
-        _put(customers, names, c.name, Customer(c.portion, c.rate))
+        _put(tenants, names, c.name, Tenant(c.portion, c.rate))
     for what, some in (("tariffs", places), ("customers", names)):
         if len(some) > PLACES_BOUND:
             raise ValueError(f"{what}: found {len(some)} names since this process started; allowed: "
@@ -55,7 +55,7 @@
     )  # fmt: skip
     quoted_ms = {**(before.quoted_ms if before else {}), **{t.name: t.quoted_ms for t in found["tariffs"]}}
     longest_ms = max([before.longest_ms if before else 0.0, *(t.outer_ms for t in found["tariffs"])])
-    return Terms(asks, request_classes, customers, list(places), list(names), permits_of(found["permits"]), quoted_ms,
+    return Terms(asks, request_classes, tenants, list(places), list(names), permits_of(found["permits"]), quoted_ms,
                  longest_ms)  # fmt: skip
 
 
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -132,7 +132,7 @@
     late_share: float
 
 
-class Customer(NamedTuple):
+class Tenant(NamedTuple):
     portion: float
     rate: float  # requests a second within the share, over all front ends; 0: untold
 
--- a/petrelway/node/door.py
+++ b/petrelway/node/door.py
@@ -128,7 +128,7 @@
         number: int,
         passed: Passed,
         request_class: int,
-        customer: int,
+        tenant: int,
         remaining_ms: float,
         work_ms: float,
         memory_mb: float,
@@ -144,12 +144,12 @@
             raise LineFault(number, lines.BAD_PARAMS, "call: open already", last=ours)
         # one that reads no answers gets no further work done for it
         unread = self.state.unread_since_ms is not None
-        retry_ms = door.retry_ms if unread else door.refuse(customer)
+        retry_ms = door.retry_ms if unread else door.refuse(tenant)
         if retry_ms is not None:
             door.counts["nacked untaken"] += 1
             self.transport.write(lines.nacked(number, retry_ms))
             return
-        answer = door.take(passed, request_class, customer, remaining_ms, work_ms, memory_mb, lanes, load_ms)
+        answer = door.take(passed, request_class, tenant, remaining_ms, work_ms, memory_mb, lanes, load_ms)
         self.state.taken(number, passed.call)
         self.answers[number] = answer
         door.calls[passed.call] = self, number
@@ -268,7 +268,7 @@
         connections_bound: int,
         retry_ms: float = 0.0,
     ) -> None:
-        """`refuse`: None to take a customer's request, else the retry time of the nack it gets at once;
+        """`refuse`: None to take a tenant's request, else the retry time of the nack it gets at once;
         `retry_ms`: that of a client that reads no answers."""
         self.asks, self.take, self.refuse, self.serving = asks, take, refuse, serving
         self.clock, self.log, self.connections_bound = clock, log, connections_bound
--- a/petrelway/node/links.py
+++ b/petrelway/node/links.py
@@ -234,7 +234,7 @@
         memory_mb: float,
         lanes: int,
         request_class: str,
-        customer: str,
+        tenant: str,
         remaining_ms: float,
         work_ms: float,
         content_type: str,
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -51,7 +51,7 @@
         told.address,
         told.port,
         terms.request_class_names,
-        terms.customer_names,
+        terms.tenant_names,
         terms.halls,
         terms.machines,
     )
@@ -103,7 +103,7 @@
             told.name,
             "",  # the protocol names no process
             terms.request_class_names,
-            terms.customer_names,
+            terms.tenant_names,
             terms.halls,
             terms.machines,
             terms.keeping.order_timeout_ms,
@@ -113,14 +113,14 @@
             link=self._link,
             unix_ahead_s=self.unix_ahead_s,
         )
-        portions = [c.portion for c in terms.customers]
+        portions = [c.portion for c in terms.tenants]
         self.shedder = Shedder(portions, LAG_BOUND_MS, OPEN_BOUND, BUFFERED_BOUND, sockets, chance)
         request_classes = [
             (name, t.outer_ms, t.effect is Effect.STAMPED)
             for name, t in zip(terms.request_class_names, terms.request_classes)
         ]
         self.door = Door(
-            Asks(request_classes, terms.customer_names),
+            Asks(request_classes, terms.tenant_names),
             self.take,
             self.refuse,
             self.serving,
@@ -198,7 +198,7 @@
         self,
         passed: Passed,
         request_class: int,
-        customer: int,
+        tenant: int,
         remaining_ms: float,
         work_ms: float,
         memory_mb: float,
@@ -209,13 +209,13 @@
         remaining_ms = max(1.0, remaining_ms - self.lag_ms - WRITE_ROOM_MS)
         function = Function(passed.function, memory_mb, lanes or 1, load_ms)
         return self.host.take(
-            request_class, customer, function, passed.call.hex(), remaining_ms, work_ms, False, "", passed
+            request_class, tenant, function, passed.call.hex(), remaining_ms, work_ms, False, "", passed
         )
 
-    def refuse(self, customer: int) -> float | None:
+    def refuse(self, tenant: int) -> float | None:
         if self.door.leaving:
             retry_ms = LEAVING_RETRY_MS
-        elif (retry_ms := self.shedder.ask(self.now(), customer, False)) <= 0.0:
+        elif (retry_ms := self.shedder.ask(self.now(), tenant, False)) <= 0.0:
             return None
         return min(retry_ms, self.told.terms.permits.longest_retry_ms)
 
@@ -233,7 +233,7 @@
 
         Danger: a file that can't be read for a moment would leave the front end with a bus that has gone.
 
-        Danger: one of another deployment would lead to another customer's executors, in places and kinds that
+        Danger: one of another deployment would lead to another tenant's executors, in places and kinds that
         mean something else here: nothing of it is used, its bus neither.
         """
         if self.reading is not None and self.reading.active():
--- a/petrelway/platform/lines.py
+++ b/petrelway/platform/lines.py
@@ -54,7 +54,7 @@
         number: int,
         passed: Passed,
         request_class: int,
-        customer: int,
+        tenant: int,
         remaining_ms: float,
         work_ms: float,
         memory_mb: float,
@@ -108,12 +108,12 @@
 class Asks:
     """Reads lines by the names that the terms give."""
 
-    def __init__(self, request_classes: list[tuple[str, float, bool]], customers: list[str]) -> None:
+    def __init__(self, request_classes: list[tuple[str, float, bool]], tenants: list[str]) -> None:
         """`request classes`: name, outer limit in ms (0: none told), whether a mark against repeats is wanted."""
         self.request_classes = {
             name: (i, outer_ms, keyed) for i, (name, outer_ms, keyed) in enumerate(request_classes)
         }
-        self.customers = {name: i for i, name in enumerate(customers)}
+        self.tenants = {name: i for i, name in enumerate(tenants)}
 
     def read(self, line: bytes, ears: ClientEars) -> None:
         """One line as one call. Raises LineFault."""
@@ -161,11 +161,11 @@
         if keyed or once is not None:
             if type(once) is not str or not HEX32(once):
                 raise LineFault(number, BAD_PARAMS, "dedupe: 32 hex digits wanted")
-        customer = 0
-        if self.customers:
+        tenant = 0
+        if self.tenants:
             org = params.get("org")
-            customer = self.customers.get(org, -1) if type(org) is str else -1
-            if customer < 0:
+            tenant = self.tenants.get(org, -1) if type(org) is str else -1
+            if tenant < 0:
                 raise LineFault(number, BAD_PARAMS, "org: no such tenant")
         remaining_ms = _amount(number, params, "ttl", None, outer_ms * 1.001 + 50.0 if outer_ms else 1e9)
         if remaining_ms <= 0.0:
@@ -182,7 +182,7 @@
         if len(body) > BODY_BOUND:
             raise LineFault(number, BAD_PARAMS, f"bytes: over {BODY_BOUND} bytes")
         passed = Passed(bytes.fromhex(call), name, function, once or "", body)
-        ears.asked(number, passed, index, customer, remaining_ms, work_ms, memory_mb, lanes, load_ms)
+        ears.asked(number, passed, index, tenant, remaining_ms, work_ms, memory_mb, lanes, load_ms)
 
 
 def _taken_back(number: int | None, params: dict[str, Any]) -> tuple[int | None, bytes | None]:
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -53,7 +53,7 @@
     """The terms among checked sections, each default written out, in one form.
 
     >>> canonical({"request classes": [], "functions": []})
-    '{"adoption":{"silent":"serve on"},"customers":[],"functions":[],"permits":{"longest_retry_ms":1000.0,\
+    '{"adoption":{"silent":"serve on"},"tenants":[],"functions":[],"permits":{"longest_retry_ms":1000.0,\
 "second_copies":true,"attempts":3,"withdraw":true},"request classes":[]}'
     """
     some = {"customers": [], "permits": WhatIsPermitted(), "adoption": Adoption(), **found}
--- a/petrelway/rehearsal/baselines.py
+++ b/petrelway/rehearsal/baselines.py
@@ -52,7 +52,7 @@
         now: float,
         request: int,
         request_class: int,
-        customer: int,
+        tenant: int,
         function: int,
         remaining_ms: float,
         *_: object,
--- a/petrelway/rehearsal/benchday.py
+++ b/petrelway/rehearsal/benchday.py
@@ -1,6 +1,6 @@
 """Reads a bench's day file and makes a day of ours of it, scaled to this machine; says what it leaves out.
 
-The file is JSON; its times are microseconds. Read are fleet, halls, clients, request classes, customers, loads
+The file is JSON; its times are microseconds. Read are fleet, halls, clients, request classes, tenants, loads
 and troubles.
 """
 
--- a/petrelway/rehearsal/report.py
+++ b/petrelway/rehearsal/report.py
@@ -56,7 +56,7 @@
     in_time = late = 0
     took = []
     windows: dict[int, list[float]] = {}
-    by_customer: dict[str, list[float]] = {}
+    by_tenant: dict[str, list[float]] = {}
     for mark, line in first.items():
         t = request_classes[line["f"]]
         worth = t.worth * line["w"]
@@ -71,7 +71,7 @@
                 got, late = worth * t.late_share, late + 1
         asked += worth
         earned += got
-        for table, key in ((windows, int(line["at"] // 10_000)), (by_customer, line["c"])):
+        for table, key in ((windows, int(line["at"] // 10_000)), (by_tenant, line["c"])):
             pair = table.setdefault(key, [0.0, 0.0])
             pair[0] += got
             pair[1] += worth
@@ -83,7 +83,7 @@
         "triggers": len(first),
         "service": earned / asked if asked else 0.0,
         "worst_10_s": min((a / b for a, b in windows.values() if b), default=0.0),
-        "worst_customer": min((a / b for a, b in by_customer.values() if b), default=0.0),
+        "worst_customer": min((a / b for a, b in by_tenant.values() if b), default=0.0),
         "in_time": in_time,
         "late": late,
         "unserved": len(first) - in_time - late,
--- a/petrelway/settings/days.py
+++ b/petrelway/settings/days.py
@@ -10,7 +10,7 @@
 from .front import (
     ColdStart,
     Count,
-    CustomerShare,
+    TenantShare,
     HowCopiesAreKept,
     Ms,
     Name,
@@ -159,7 +159,7 @@
     size: Annotated[float, Meta(ge=0)] = 1.0
     extra: Annotated[float, Meta(ge=0)] = 0.0
     how: str = ""
-    which: Count = 0  # hall, customer or request class by number
+    which: Count = 0  # hall, tenant or request class by number
     on: list[Count] = []  # executors or front ends by number; left out: drawn
 
 
@@ -192,7 +192,7 @@
     "network": NetworkTerms,
     "rules": RulesFigures,
     "tariffs": Annotated[list[RequestClassTerms], Meta(min_length=1, max_length=20)],
-    "customers": Annotated[list[CustomerShare], Meta(min_length=1, max_length=100)],
+    "customers": Annotated[list[TenantShare], Meta(min_length=1, max_length=100)],
     "permits": WhatIsPermitted,
     "keeping": HowCopiesAreKept,
     "cold": ColdStart,
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -55,7 +55,7 @@
     late_share: Share = 0.0
 
 
-class CustomerShare(Strict):
+class TenantShare(Strict):
     name: Name
     portion: Share
     rate: Annotated[float, Meta(ge=0)] = 0.0
@@ -148,7 +148,7 @@
     "roster": Listen,
     "fleet": Fleet,
     "tariffs": Annotated[list[RequestClassTerms], Meta(min_length=1, max_length=100)],
-    "customers": Annotated[list[CustomerShare], Meta(max_length=10_000)],
+    "customers": Annotated[list[TenantShare], Meta(max_length=10_000)],
     "functions": Annotated[list[FunctionEntry], Meta(min_length=1, max_length=100_000)],
     "permits": WhatIsPermitted,
     "keeping": HowCopiesAreKept,
--- a/petrelway/standin/clients.py
+++ b/petrelway/standin/clients.py
@@ -126,9 +126,9 @@
         body = json.dumps(
             {"work_ms": round(asked.work_ms, 3), "io_ms": asked.io_ms, "try": self.turn}
         ).encode()
-        request_class, customer = (
+        request_class, tenant = (
             c.day["tariffs"][asked.request_class].name,
-            c.day["customers"][asked.customer].name,
+            c.day["customers"][asked.tenant].name,
         )
         head = [
             ("host", "petrelway"),
@@ -139,7 +139,7 @@
             ("ce-source", c.source),
             ("ce-type", "trigger"),
             ("ce-tariff", request_class),
-            ("ce-customer", customer),
+            ("ce-customer", tenant),
             ("ce-function", asked.function.name),
             ("ce-timeleft", f"{self.left_ms:.1f}"),
         ]
@@ -154,7 +154,7 @@
             r=self.turn,
             fe=f"front-{self.front}",
             f=request_class,
-            c=customer,
+            c=tenant,
             fn=asked.function.name,
             left=round(self.left_ms, 3),
             w=round(asked.work_ms, 3),
@@ -241,7 +241,7 @@
                 "due",
                 m=f"{self.source}\nt{self.serial}",
                 f=self.day["tariffs"][asked.request_class].name,
-                c=self.day["customers"][asked.customer].name,
+                c=self.day["customers"][asked.tenant].name,
                 w=round(asked.work_ms, 3),
                 at=round(self.next_ms - self.epoch_ms, 3),
             )
--- a/petrelway/standin/life.py
+++ b/petrelway/standin/life.py
@@ -42,7 +42,7 @@
         self.kind = day["fleet"].kinds[post.kind]
         self.chance = random.Random(f"{day['day'].seed}/{post.name}")
         self.stamped = {t.name for t in day["tariffs"] if t.effect == "stamped"}
-        self.customers = [c.name for c in day["customers"]]
+        self.tenants = [c.name for c in day["customers"]]
         traffic = day["traffic"]
         self.mean_work = {
             t.name: traffic.work[t.name].mean_ms if t.name in traffic.work else 150.0 for t in day["tariffs"]
@@ -127,7 +127,7 @@
         memory_mb: float,
         lanes: int,
         request_class: str,
-        customer: str,
+        tenant: str,
         remaining_ms: float,
         work_ms: float,
         io_ms: float,
@@ -162,7 +162,7 @@
                 function,
                 memory_mb,
                 lanes,
-                customer,
+                tenant,
                 stamped,
                 work_ms,
                 io_ms,
@@ -223,9 +223,9 @@
         elif what in ("pauses", "end pauses"):
             self._pauses(what == "pauses", h)
         elif what in ("throttle", "end throttle"):
-            customer = self.day["customers"][h.which % len(self.customers)]
-            fair = self.day["traffic"].rate * customer.portion / self.day["fleet"].executors
-            m.throttle = (customer.name, h.size * fair, h.extra * 1e3) if what == "throttle" else None
+            tenant = self.day["customers"][h.which % len(self.tenants)]
+            fair = self.day["traffic"].rate * tenant.portion / self.day["fleet"].executors
+            m.throttle = (tenant.name, h.size * fair, h.extra * 1e3) if what == "throttle" else None
         elif what in ("ageing", "end ageing"):
             if what == "ageing":
                 self._age(m, 1.0, max(1.0, h.size))
--- a/petrelway/standin/machine.py
+++ b/petrelway/standin/machine.py
@@ -27,7 +27,7 @@
     function: str
     memory_mb: float
     lanes: int
-    customer: str
+    tenant: str
     stamped: bool
     work_ms: float
     io_ms: float
@@ -130,7 +130,7 @@
         self.frozen = 0
         self.held: list[Callable[[], None]] = []
         self.dead = False
-        self.throttle: tuple[str, float, float] | None = None  # customer, requests a second, ms to say so
+        self.throttle: tuple[str, float, float] | None = None  # tenant, requests a second, ms to say so
         self.throttle_seen: deque[float] = deque()
         self.progress_ms = self.now()
         self.sweeper = clock.callLater(SWEEP_MS / 1e3, self._sweep)
@@ -157,7 +157,7 @@
         now = self.now()
         if now >= work.until_ms:
             return
-        if self._throttled(work.customer, now):
+        if self._throttled(work.tenant, now):
             self.clock.callLater(self.throttle[2] / 1e3, self.say_ended, work, FULL, 0, 0)
             return
         if work.stamped and self.marks.seen(work.mark, now):
@@ -268,8 +268,8 @@
 
     # -- requests
 
-    def _throttled(self, customer: str, now: float) -> bool:
-        if self.throttle is None or customer != self.throttle[0]:
+    def _throttled(self, tenant: str, now: float) -> bool:
+        if self.throttle is None or tenant != self.throttle[0]:
             return False
         seen = self.throttle_seen
         while seen and seen[0] < now - 1000.0:
--- a/petrelway/standin/traffic.py
+++ b/petrelway/standin/traffic.py
@@ -24,7 +24,7 @@
     """One request of a client, before its first try; times in ms."""
 
     request_class: int
-    customer: int
+    tenant: int
     function: FunctionTruth
     front: int
     work_ms: float
@@ -93,7 +93,7 @@
     def draw(self, now: float) -> Asked:
         chance = self.chance
         request_class = chance.choices(range(len(self.shares)), self.shares)[0]
-        customer = chance.choices(range(len(self.portions)), self.portions)[0]
+        tenant = chance.choices(range(len(self.portions)), self.portions)[0]
         if chance.random() < self.scan:
             self.once += 1
             f = FunctionTruth(f"once-{chance.getrandbits(40):x}", 300.0, 4, 350.0, 150.0, 1.0)
@@ -109,7 +109,7 @@
         hint = (
             work_ms * math.exp(chance.gauss(0.0, self.traffic.hint_cv)) if self.traffic.hint_cv < 4 else 0.0
         )
-        return Asked(request_class, customer, f, self._front(now), work_ms, io, hint)
+        return Asked(request_class, tenant, f, self._front(now), work_ms, io, hint)
 
     def _front(self, now: float) -> int:
         begin, end, share, hall = self.moving
--- a/petrelway/terms.py
+++ b/petrelway/terms.py
@@ -12,7 +12,7 @@
 from .choice import FrontEnd
 from .interface import (
     ColdRule,
-    Customer,
+    Tenant,
     Effect,
     Keeping,
     LoadRation,
@@ -31,13 +31,13 @@
 
     place: Place
     request_classes: list[RequestClass]
-    customers: list[Customer]
+    tenants: list[Tenant]
     permits: Permits
     keeping: Keeping
     cold: ColdRule
     ration: LoadRation
     request_class_names: list[str]
-    customer_names: list[str]
+    tenant_names: list[str]
     halls: list[str]
     machines: list[str]
     streams: int  # attempts that one connection may carry together
@@ -50,7 +50,7 @@
             seed,
             self.place,
             self.request_classes,
-            self.customers,
+            self.tenants,
             self.permits,
             self.keeping,
             self.cold,
@@ -173,7 +173,7 @@
     if len(set(names)) < len(names):
         raise told.fault("classes", "names that differ")
     request_classes = [_request_class(c) for c in classes]
-    customers = [Customer(o.number("portion", default=0.0), o.number("quotaRps", default=0.0)) for o in orgs]
+    tenants = [Tenant(o.number("portion", default=0.0), o.number("quotaRps", default=0.0)) for o in orgs]
     place = Place(
         told.whole("position", 0, 10**6, 0),
         told.whole("peersTotal", 1, 10**6),
@@ -216,7 +216,7 @@
     return Terms(
         place,
         request_classes,
-        customers,
+        tenants,
         permits,
         keeping,
         cold,
--- a/petrelway/worker/serving.py
+++ b/petrelway/worker/serving.py
@@ -95,7 +95,7 @@
         memory_mb,
         lanes,
         request_class,
-        customer,
+        tenant,
         remaining_ms,
         work_ms,
         content_type,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,7 +3,7 @@
 from petrelway.choice import FrontEnd
 from petrelway.interface import (
     ColdRule,
-    Customer,
+    Tenant,
     Decision,
     Effect,
     Keeping,
@@ -43,7 +43,7 @@
             seed,
             Place(0, peers, 0),
             [RequestClass(effect, scope, 4000.0, 1000.0, 4000.0, 1.0, 0.1)],
-            [Customer(0.6, rate), Customer(0.4, rate)],
+            [Tenant(0.6, rate), Tenant(0.4, rate)],
             Permits(sends, seconds, True, False, False, 500.0),
             Keeping(misses, True, 8000.0, 10000.0, 0.1),
             ColdRule(4.0, 1500.0, 0.2, 15000.0),
@@ -64,11 +64,11 @@
         """Enough own requests asked for that our counts tell."""
         self.fe.asked = 1e9
 
-    def take(self, function=0, remaining=4000.0, work=100.0, customer=0):
+    def take(self, function=0, remaining=4000.0, work=100.0, tenant=0):
         if function not in self.fe.functions:
             self.fe.function_named(self.now, function, f"f{function}", 100.0, 2, 500.0)
         self.serial += 1
-        self.fe.request_taken(self.now, self.serial, 0, customer, function, remaining, work, False)
+        self.fe.request_taken(self.now, self.serial, 0, tenant, function, remaining, work, False)
         return self.serial
 
     def end(self, request, outcome, number=0, executor=0, took=100.0, warmth=Warmth.FOUND, finished=None):
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -195,7 +195,7 @@
     ]
     for pressure, step, fair, repeat, over in table:
         s = shedder()
-        s.asked = [(200.0, 0.0), (20.0, 0.0), (220.0, 0.0)]  # the first customer sends ten times the other's
+        s.asked = [(200.0, 0.0), (20.0, 0.0), (220.0, 0.0)]  # the first tenant sends ten times the other's
         press(s, pressure)
         assert s.step is step
         assert bool(s.shut()) == (step is Step.ALL), pressure
@@ -226,9 +226,9 @@
         press(s, pressure)
         chance, taken, asked = random.Random(2), [0, 0, 0], [0, 0, 0]
         for i in range(6000):
-            customer = chance.choices(range(3), (0.7, 0.2, 0.1))[0]
-            asked[customer] += 1
-            taken[customer] += not s.ask(i * 0.5, customer, False)
+            tenant = chance.choices(range(3), (0.7, 0.2, 0.1))[0]
+            asked[tenant] += 1
+            taken[tenant] += not s.ask(i * 0.5, tenant, False)
         for t, a in zip(taken, asked, strict=True):
             assert least - 0.12 <= t / a <= most + 0.02, (pressure, taken, asked)
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -8,9 +8,9 @@
 from petrelway.interface import Outcome, Stage, Verb, Warmth
 
 
-def ask(host, function=0, customer=0):
+def ask(host, function=0, tenant=0):
     """What the choice would be for a request, without sending it."""
-    t = host.fe.requests[host.take(function, customer=customer)]
+    t = host.fe.requests[host.take(function, tenant=tenant)]
     chosen = host.fe.choose(t, host.now)
     del host.fe.requests[t.index]
     host.fe.attention.clear()
@@ -153,9 +153,9 @@
         assert (host.fe.executors[d.executor].pace == 1.0) == bool(stall)
 
 
-def test_slow_full_counts_for_one_customer():
-    """Danger: some executors refuse one customer only, and slowly, though they have room."""
-    for took, customer, expected in ((250.0, 0, {1}), (250.0, 1, {0, 1}), (1.0, 0, {0, 1})):
+def test_slow_full_counts_for_one_tenant():
+    """Danger: some executors refuse one tenant only, and slowly, though they have room."""
+    for took, tenant, expected in ((250.0, 0, {1}), (250.0, 1, {0, 1}), (1.0, 0, {0, 1})):
         host = Host(2)
         host.teach(0)
         host.teach(1)
@@ -164,7 +164,7 @@
         host.end(t, Outcome.FULL, executor=d.executor, took=took, finished=True)
         host.pull()
         refused = expected if d.executor == 0 or len(expected) == 2 else {0}
-        assert {ask(host, customer=customer).listing.executor for _ in range(30)} == refused
+        assert {ask(host, tenant=tenant).listing.executor for _ in range(30)} == refused
 
 
 def test_crowded_holds_then_nacks():
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -43,8 +43,8 @@
 def test_windows_fade_and_stay_bounded():
     t = Telemetry(0.0, {"t": 1000.0})
 
-    def one(now, i, took, kind="fulfilled", customer="c"):
-        t.taken(now, i, f"m{i}", "t", customer, f"f{i}")
+    def one(now, i, took, kind="fulfilled", tenant="c"):
+        t.taken(now, i, f"m{i}", "t", tenant, f"f{i}")
         t.answered(now + took, i, kind)
         t.released(i)
 
@@ -56,17 +56,17 @@
     q = t.quantiles(10_000.0, "t")
     assert 480 <= q["p50"] <= 520 and 1480 <= q["p99"] <= 1520 and t.quantiles(9e9, "t") == {}
     for i in range(100, 100 + STORIES + 500):
-        one(20_000.0, i, 10.0, customer=f"c{i}")
+        one(20_000.0, i, 10.0, tenant=f"c{i}")
     assert len(t.stories) == STORIES and not t.open
     assert len(t.windows.names["customer"]) == NAMES_BOUND and len(t.warmth) <= 512
     assert ("customer", "(others)", "taken") in t.windows.over(20_000.0, 60)
-    one(20_000.0 + 61 * 60_000.0, 10**7, 10.0, customer="new")  # an hour on: places are free
-    one(20_000.0 + 63 * 60_000.0, 10**7 + 1, 10.0, customer="newer")
+    one(20_000.0 + 61 * 60_000.0, 10**7, 10.0, tenant="new")  # an hour on: places are free
+    one(20_000.0 + 63 * 60_000.0, 10**7 + 1, 10.0, tenant="newer")
     before = t.service(20_000.0 + 63 * 60_000.0, 3600)["all"]
     while t.windows.roll():
         pass
     assert t.service(20_000.0 + 63 * 60_000.0, 3600)["all"] == before  # rolled or not, the same counts
-    one(20_000.0 + 63 * 60_000.0, 10**7 + 2, 10.0, customer="newest")
+    one(20_000.0 + 63 * 60_000.0, 10**7 + 2, 10.0, tenant="newest")
     assert t.windows.names["customer"] == {"newest"}  # the ones before still met a full table
     for i in range(3 * SECONDS):  # nobody rolls: what waits stays bounded
         one(20_000.0 + 63 * 60_000.0 + 1000.0 * i, 10**7 + 3, 10.0)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -305,8 +305,8 @@
 # -- configurations
 
 
-def test_nothing_of_another_customers_configuration_is_used(tmp_path):
-    """Danger: its bus names another customer's executors, in zones and kinds that mean others here."""
+def test_nothing_of_another_tenants_configuration_is_used(tmp_path):
+    """Danger: its bus names another tenant's executors, in zones and kinds that mean others here."""
     executor, other = Executor(), Bus()
     foreign = copy.deepcopy(SETTINGS)
     foreign["classes"] = [{**foreign["classes"][0], "name": "theirs"}]
@@ -325,7 +325,7 @@
         assert "error" in client.hear()
         client.say(request(3, call=B))
         assert "result" in client.hear()
-        mine = settings(limits={"sendCap": 1})  # of the same customer: the bus moves, the limit holds later
+        mine = settings(limits={"sendCap": 1})  # of the same tenant: the bus moves, the limit holds later
         n.write(other, settings=mine)
         n.signal(signal.SIGHUP)
         until(lambda: other.resumed)
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -9,7 +9,7 @@
 from petrelway.front.host import FAILURES_BOUND, Function, Host
 from petrelway.interface import (
     ColdRule,
-    Customer,
+    Tenant,
     Effect,
     Keeping,
     LoadRation,
@@ -41,7 +41,7 @@
             3,
             Place(0, 1, 0),
             [RequestClass(effect, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
-            [Customer(1.0, 50.0)],
+            [Tenant(1.0, 50.0)],
             Permits(sends, True, True, False, False, 500.0),
             Keeping(misses, True, 8000.0, 5000.0, 0.0),
             ColdRule(4.0, 1500.0, 0.2, 10000.0),
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -77,7 +77,7 @@
         stamped=False,
         mark="",
         io=0.0,
-        customer="c",
+        tenant="c",
     ):
         self.serial += 1
         self.m.take(
@@ -89,7 +89,7 @@
                 function,
                 memory,
                 lanes,
-                customer,
+                tenant,
                 stamped,
                 work,
                 io,
@@ -238,7 +238,7 @@
     assert rig.m.copies == {}
 
 
-def test_stamped_repeats_and_one_customer_throttled():
+def test_stamped_repeats_and_one_tenant_throttled():
     rig = Rig()
     rig.take(stamped=True, mark="m")
     rig.run(300)
@@ -249,8 +249,8 @@
     rig.run(200)
     assert ("ran", 3) in rig.notes
     rig.m.throttle = ("c", 2.0, 50.0)
-    for customer in ("c", "c", "c", "other"):
-        rig.take(customer=customer)
+    for tenant in ("c", "c", "c", "other"):
+        rig.take(tenant=tenant)
     rig.run(200)
     assert sorted((s, o) for s, o, *_ in rig.ends[3:]) == [(4, 0), (5, 0), (6, FULL), (7, 0)]
 
--- a/tests/test_node_door.py
+++ b/tests/test_node_door.py
@@ -23,7 +23,7 @@
         self.door = Door(
             ASKS,
             self.take,
-            lambda customer: self.retry,
+            lambda tenant: self.retry,
             lambda: self.well,
             self.clock,
             self.log,
@@ -31,7 +31,7 @@
             200.0,
         )
 
-    def take(self, passed, request_class, customer, remaining, work, memory, lanes, load):
+    def take(self, passed, request_class, tenant, remaining, work, memory, lanes, load):
         def give_up():  # the host answers in its next turn
             self.given_up.append(passed.call)
             self.clock.callLater(0, answer.callback, Answer(BROKEN_OFF))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -47,10 +47,10 @@
 
 
 def test_a_request_is_read_whole():
-    _, (name, number, passed, request_class, customer, remaining, work, memory, lanes, load) = read(
+    _, (name, number, passed, request_class, tenant, remaining, work, memory, lanes, load) = read(
         request(7, "keyed", org="bolt", extras="memory_mb:512;lanes:2;load_ms:900;other:1")
     )
-    assert (name, number, request_class, customer, remaining) == ("asked", 7, 1, 1, 1500.0)
+    assert (name, number, request_class, tenant, remaining) == ("asked", 7, 1, 1, 1500.0)
     assert (work, memory, lanes, load) == (8.2, 512.0, 2, 900.0)
     assert (passed.call.hex(), passed.request_class, passed.function) == (CALL, "keyed", FUNCTION)
     assert (passed.once, passed.body, len(passed)) == (ONCE, b"hello", 5)
@@ -399,7 +399,7 @@
             read_terms(settings)
     assert read_terms(SETTINGS).request_classes
     # what the wire page says may be missing, and keys that it does not name
-    assert read_terms(without(SETTINGS, "orgs")).customers == []
+    assert read_terms(without(SETTINGS, "orgs")).tenants == []
     assert read_terms(told(later={"x": 1})) == read_terms(SETTINGS)
-    assert read_terms(told(orgs=None)).customers == []  # null stands for an absent value
+    assert read_terms(told(orgs=None)).tenants == []  # null stands for an absent value
     assert read_terms(told("limits", probes=None)).permits.probes is False
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -13,7 +13,7 @@
 from petrelway.choice import FrontEnd
 from petrelway.interface import (
     ColdRule,
-    Customer,
+    Tenant,
     Effect,
     Keeping,
     Listing,
@@ -68,7 +68,7 @@
 
     def front_end(self, number, now):
         self.made += 1
-        told = Customer(1.0, 0.85 * self.capacity * EXECUTORS)
+        told = Tenant(1.0, 0.85 * self.capacity * EXECUTORS)
         fe = FrontEnd(
             now,
             self.made,
--- a/tests/test_ramp_process.py
+++ b/tests/test_ramp_process.py
@@ -10,7 +10,7 @@
 
 FRONT_ENDS, WARM, SECONDS = 20, 4, 4.0
 MULTIPLE, SPAN_S, START_SHARE, COLD_S = 4.0, 1.5, 0.05, 10.0
-CAPACITY = 30.0  # calls a second of a warm executor; the customers' rates are 0.85 of all together
+CAPACITY = 30.0  # calls a second of a warm executor; the tenants' rates are 0.85 of all together
 
 
 class Counting(Executor):
