--- a/benchmarks/capacity_front_end_fleet.py
+++ b/benchmarks/capacity_front_end_fleet.py
@@ -161,7 +161,7 @@
                 line.stable,
                 f"127.0.{line.executor >> 8}.{line.executor & 255}",
                 7000,
-                f"zone-{line.hall}",
+                f"zone-{line.zone}",
                 f"kind-{line.machine}",
                 line.cell,
                 "ready",
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -148,11 +148,11 @@
         request_class = t.request_class
         if request_class.effect is not Effect.STAMPED:
             return request_class.effect is Effect.HARMLESS
-        for hall, cell, sent_ms in (*t.ran, *map(Attempt.run, t.out.values())):
+        for zone, cell, sent_ms in (*t.ran, *map(Attempt.run, t.out.values())):
             if now > sent_ms + request_class.window_ms - WINDOW_EARLY_MS:
                 return False
             scope = request_class.scope
-            if (scope is Scope.HALL and hall != at.hall) or (scope is Scope.CELL and cell != at.cell):
+            if (scope is Scope.ZONE and zone != at.zone) or (scope is Scope.CELL and cell != at.cell):
                 return False
         return True
 
--- a/petrelway/choice_state.py
+++ b/petrelway/choice_state.py
@@ -26,7 +26,7 @@
 class Run(NamedTuple):
     """Where and when a request may have run."""
 
-    hall: int
+    zone: int
     cell: int
     sent_ms: float
 
@@ -49,7 +49,7 @@
     def run(self) -> Run:
         """Where it went, by the present list."""
         listing = self.executor.listing
-        return Run(listing.hall, listing.cell, self.sent_ms)
+        return Run(listing.zone, listing.cell, self.sent_ms)
 
 
 class Deadlines(NamedTuple):
--- a/petrelway/commands/policies.py
+++ b/petrelway/commands/policies.py
@@ -48,7 +48,7 @@
 
 def read_terms(file: str) -> str:
     """The terms in a Jsonnet file, in one form. Raises SettingsFault."""
-    alone = {"front_end": FrontEndPlace(name="-", hall="-"), "fleet": Fleet(halls=["-"])}
+    alone = {"front_end": FrontEndPlace(name="-", zone="-"), "fleet": Fleet(zones=["-"])}
     return canonical(check(file, evaluate(file), alone))
 
 
--- a/petrelway/commands/standins.py
+++ b/petrelway/commands/standins.py
@@ -37,11 +37,11 @@
 @standin.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 @click.argument("hall", type=int)
-def executors(folder: str, hall: int) -> None:
-    """All executors of one hall."""
+def executors(folder: str, zone: int) -> None:
+    """All executors of one zone."""
     from ..standin.parts import play_executors
 
-    _run(play_executors, folder, hall)
+    _run(play_executors, folder, zone)
 
 
 @standin.command()
--- a/petrelway/console/explainer.py
+++ b/petrelway/console/explainer.py
@@ -12,7 +12,7 @@
 from ..interface import Stage
 
 
-def executor(fe: FrontEnd, e: Executor, now: float, name: str, hall: str) -> dict[str, Any]:
+def executor(fe: FrontEnd, e: Executor, now: float, name: str, zone: str) -> dict[str, Any]:
     """What is known of one executor, and why it is avoided. Times in ms."""
     usual = fe.kind_pace.get(e.listing.machine, 0.0)
     pace = fe.pace(e, now)
@@ -32,7 +32,7 @@
         avoided.append(f"cold: {len(e.cold_sends)} sends counted against rule 4")
     return {
         "executor": name,
-        "hall": hall,
+        "hall": zone,
         "stage": e.listing.stage.value,
         "pace": round(pace, 3),
         "usual pace": round(usual, 3),
@@ -48,10 +48,10 @@
 
 
 def executors(
-    fe: FrontEnd, names: dict[int, str], halls: dict[int, str], now: float
+    fe: FrontEnd, names: dict[int, str], zones: dict[int, str], now: float
 ) -> Iterator[dict[str, Any]]:
     for index, e in list(fe.executors.items()):
-        yield executor(fe, e, now, names.get(index, str(index)), halls.get(e.listing.hall, ""))
+        yield executor(fe, e, now, names.get(index, str(index)), zones.get(e.listing.zone, ""))
 
 
 def function(fe: FrontEnd, index: int, name: str, names: dict[int, str], now: float) -> dict[str, Any]:
--- a/petrelway/console/pages.py
+++ b/petrelway/console/pages.py
@@ -32,12 +32,12 @@
 
 
 def executors(d: Any, asked: dict[str, str]) -> Generator[None, None, dict[str, Any]]:
-    """Per hall and executor: stage, pace, backlog, why it is avoided."""
+    """Per zone and executor: stage, pace, backlog, why it is avoided."""
     host, now = d.host, d.now()
     rows: list[dict[str, Any]] = []
     minute = d.telemetry.service(now, 60).get("executor", {})
     yield
-    for row in explainer.executors(host.front_end, host.executors.wire, host.halls.wire, now):
+    for row in explainer.executors(host.front_end, host.executors.wire, host.zones.wire, now):
         row["last minute"] = minute.get(row["executor"], {})
         link = host.links.get(host.executors.index.get(row["executor"], -1))
         row["link"] = "up" if link is not None and link.ready else "down"
--- a/petrelway/console/telemetry.py
+++ b/petrelway/console/telemetry.py
@@ -158,13 +158,13 @@
         if (story := self.open.get(serial)) is not None:
             story.add(now, what, executor, detail)
 
-    def ended(self, now: float, serial: int, executor: str, hall: str, outcome: str, warmth: str) -> None:
+    def ended(self, now: float, serial: int, executor: str, zone: str, outcome: str, warmth: str) -> None:
         name = self.windows.name("executor", executor)
-        keys = [("executor", name, outcome), ("hall", hall, outcome)]
+        keys = [("executor", name, outcome), ("hall", zone, outcome)]
         self.totals[f"transmission {outcome}"] += 1
         story = self.open.get(serial)
         if outcome == "fulfilled":
-            keys += [("executor", name, warmth), ("hall", hall, warmth), ("all", "", f"copy {warmth}")]
+            keys += [("executor", name, warmth), ("hall", zone, warmth), ("all", "", f"copy {warmth}")]
             if story is not None and story.function in self.functions.counts:
                 self.warmth.setdefault(story.function, Counter())[warmth] += 1
         self.windows.add(now, keys)
@@ -193,7 +193,7 @@
     # -- what pages read
 
     def service(self, now: float, seconds: int) -> dict[str, Any]:
-        """Share in time and counts, in all and by request class, tenant, hall and executor."""
+        """Share in time and counts, in all and by request class, tenant, zone and executor."""
         counts = self.windows.over(now, seconds)
         found: dict[str, Any] = {}
         for (dimension, name, field), count in counts.items():
--- a/petrelway/drill/codec.py
+++ b/petrelway/drill/codec.py
@@ -125,14 +125,14 @@
         return ["schedule", self.name, d.ms / 1e3, "look"]
 
     def _listing(self, entry: list) -> Listing:
-        wire, hall, machine, cell, stage, weight, started = (entry + [None, None])[:7]
+        wire, zone, machine, cell, stage, weight, started = (entry + [None, None])[:7]
         if stage not in STAGES:
             raise WireFault(f"topology names an unknown state {stage!r}")
         index, _ = self.executors.enter(wire)
         return Listing(
             index,
             wire,
-            hall or 0,
+            zone or 0,
             machine or 0,
             cell or 0,
             STAGES[stage],
--- a/petrelway/emulator/clients.py
+++ b/petrelway/emulator/clients.py
@@ -61,8 +61,8 @@
         patience, impatient = c.manners.patience_ms(self.left_ms)
         self.timer = c.sim.later(patience / 1e3, self._leave, impatient)
         c.open.setdefault(self.front, {})[self] = None
-        there = Cable(c.sim, c.network, OUTSIDE, front.place.hall)
-        self.back = Cable(c.sim, c.network, front.place.hall, OUTSIDE)
+        there = Cable(c.sim, c.network, OUTSIDE, front.place.zone)
+        self.back = Cable(c.sim, c.network, front.place.zone, OUTSIDE)
         there.carry(front.place.process.run, self._arrive)
 
     def _arrive(self) -> None:
@@ -116,7 +116,7 @@
         kind = "gone" if impatient else "unanswered"
         c.record.note(kind, _source=c.source, id=self.id, r=self.turn, fe=f"front-{self.front}")
         if self.leave is not None:
-            Cable(c.sim, c.network, OUTSIDE, self.at.place.hall).carry(self.at.place.process.run, self.leave)
+            Cable(c.sim, c.network, OUTSIDE, self.at.place.zone).carry(self.at.place.process.run, self.leave)
 
     def _end(self) -> bool:
         """Whether it had ended before."""
--- a/petrelway/emulator/day.py
+++ b/petrelway/emulator/day.py
@@ -59,8 +59,8 @@
 class StoreWay:
     """An executor's way to the store and back."""
 
-    def __init__(self, sim: World, network: Network, hall: int, store: Store, record: Tape) -> None:
-        self.there, self.back = Cable(sim, network, hall, CENTRE), Cable(sim, network, CENTRE, hall)
+    def __init__(self, sim: World, network: Network, zone: int, store: Store, record: Tape) -> None:
+        self.there, self.back = Cable(sim, network, zone, CENTRE), Cable(sim, network, CENTRE, zone)
         self.store, self.record = store, record
 
     def fetch(self, function: str, fetch_ms: float, done: Callable[[bool], None]) -> None:
@@ -167,9 +167,9 @@
         groups: dict[tuple[int, int], Marks] = {}
         self.lives: dict[int, Life] = {}
         for post in self.script.posts:
-            group = (post.hall, post.cell if scopes == {"cell"} else -1)
+            group = (post.zone, post.cell if scopes == {"cell"} else -1)
             marks = groups.setdefault(group, Marks(window))
-            way = StoreWay(self.sim, self.network, post.hall, self.store, self.tape)
+            way = StoreWay(self.sim, self.network, post.zone, self.store, self.tape)
             life = EmulatedLife(self.clock, post, day, self.epoch_ms, self.tape, way, truths, marks)
             self.lives[post.number] = life
             if post.begins_ms <= 0.0:
@@ -178,12 +178,12 @@
     def _start(self, number: int) -> None:
         self.starts += 1
         fleet, name = self.day["fleet"], f"front-{number}"
-        hall = number % len(fleet.halls)
-        place = Place(self.sim, self.network, hall, self.lives, name)
+        zone = number % len(fleet.zones)
+        place = Place(self.sim, self.network, zone, self.lives, name)
         front_end = msgspec.structs.replace(
             self.told["front_end"],
             name=name,
-            hall=fleet.halls[hall],
+            zone=fleet.zones[zone],
             number=number,
             seed=self.day["day"].seed % 1_000_000 * 1000 + number,
         )
@@ -220,7 +220,7 @@
 
     def _network(self, h: Happening) -> None:
         if h.what in ("cut", "end cut"):
-            self.network.cut(h.which % len(self.day["fleet"].halls), h.what == "cut")
+            self.network.cut(h.which % len(self.day["fleet"].zones), h.what == "cut")
         elif h.what in ("far", "end far"):
             self.network.far(h.size if h.what == "far" else 0.0)
         else:
--- a/petrelway/emulator/fronts.py
+++ b/petrelway/emulator/fronts.py
@@ -21,14 +21,14 @@
 from .network import Network
 from .sea import Sea
 
-CENTRE = 0  # the hall where roster and store are
+CENTRE = 0  # the zone where roster and store are
 
 
 class Place:
     """Where one front end's process runs, and what it can reach."""
 
-    def __init__(self, sim: World, network: Network, hall: int, lives: dict[int, Life], name: str) -> None:
-        self.sim, self.network, self.hall, self.lives = sim, network, hall, lives
+    def __init__(self, sim: World, network: Network, zone: int, lives: dict[int, Life], name: str) -> None:
+        self.sim, self.network, self.zone, self.lives = sim, network, zone, lives
         self.process = Process(sim, name)
 
 
@@ -39,13 +39,13 @@
         self.place, self.book, self.front = place, book, front
         self.serial: int | None = None
         self.backoff = Backoff(front.chance, RETRY_LEAST_MS, RETRY_MOST_MS)
-        self.cable = Cable(place.sim, place.network, CENTRE, place.hall)
+        self.cable = Cable(place.sim, place.network, CENTRE, place.zone)
         self.follow()
 
     def follow(self) -> None:
         if self.place.process.dead:
             return
-        if not self.front.roster_up() or not self.place.network.reaches(CENTRE, self.place.hall):
+        if not self.front.roster_up() or not self.place.network.reaches(CENTRE, self.place.zone):
             self.place.process.callLater(self.backoff.failed() / 1e3, self.follow)
             return
         self.serial = None
@@ -113,7 +113,7 @@
             process,
             [t.name for t in found["tariffs"]],
             [c.name for c in found["customers"]],
-            fleet.halls,
+            fleet.zones,
             fleet.machines,
             found["keeping"].order_timeout_ms,
             place,
--- a/petrelway/emulator/links.py
+++ b/petrelway/emulator/links.py
@@ -21,7 +21,7 @@
 
 
 class Cable:
-    """The messages of one way between two halls, in order; what meets a cut goes on when it ends."""
+    """The messages of one way between two zones, in order; what meets a cut goes on when it ends."""
 
     __slots__ = ("sim", "network", "one", "other", "last_ms", "held")
 
@@ -70,12 +70,12 @@
         "sim",
     )
 
-    def __init__(self, link: EmulatedLink, life: Life, sim: World, network: Network, hall: int) -> None:
+    def __init__(self, link: EmulatedLink, life: Life, sim: World, network: Network, zone: int) -> None:
         self.link, self.life = link, life
         self.front, self.process = link.front_end, link.process
         self.started_ms = life.started_ms
-        self.there = Cable(sim, network, hall, life.post.hall)
-        self.back = Cable(sim, network, life.post.hall, hall)
+        self.there = Cable(sim, network, zone, life.post.zone)
+        self.back = Cable(sim, network, life.post.zone, zone)
         self.broken, self.reading = False, not life.never_read
         self.inbox: deque[tuple[float, Callable, tuple]] = deque()
         self.sim, self.sent_ms = sim, 0.0
@@ -279,16 +279,16 @@
         if now < self.next_ms:
             return None
         life, network = place.lives[self.port], place.network
-        reached = network.reaches(place.hall, life.post.hall)
+        reached = network.reaches(place.zone, life.post.zone)
         if reached and life.machine is not None and not life.machine.frozen:
-            self.wire = Wire(self, life, place.sim, network, place.hall)
+            self.wire = Wire(self, life, place.sim, network, place.zone)
             return self.wire
         if not reached:
             wait_ms = DIAL_MS
         elif life.machine is not None:
             wait_ms = GREETING_MS  # it accepts and says nothing
         else:
-            wait_ms = network.arrival(now, life.post.hall, place.hall, now) - now
+            wait_ms = network.arrival(now, life.post.zone, place.zone, now) - now
         self.dialling[-1, -1] = None
         place.process.callLater(wait_ms / 1e3, self._refused)
         return None
--- a/petrelway/emulator/network.py
+++ b/petrelway/emulator/network.py
@@ -1,7 +1,7 @@
-"""When a message arrives, pure: distance of halls, jitter, loss and cuts. Chance handed in; times in ms.
+"""When a message arrives, pure: distance of zones, jitter, loss and cuts. Chance handed in; times in ms.
 
 Connections keep their order and lose nothing for good: a lost message comes later, and what follows it on the
-same connection waits for it; while two halls are cut off from each other nothing arrives.
+same connection waits for it; while two zones are cut off from each other nothing arrives.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Network:
-    """Between halls, by number; -1 is a place near them all, where clients are: no cut and no loss there.
+    """Between zones, by number; -1 is a place near them all, where clients are: no cut and no loss there.
 
     >>> net = Network(1.0, 5.0, 0.0, 0.0, 200.0, random.Random(1))
     >>> net.arrival(100.0, 0, 0, 0.0), net.arrival(100.0, 0, 1, 0.0), net.arrival(100.0, 0, 1, 200.0)
@@ -34,20 +34,20 @@
         self.within_ms, self.between_ms = within_ms, between_ms
         self.jitter, self.loss, self.again_ms, self.chance = jitter, loss, again_ms, chance
         self.usual_loss, self.farther_ms = loss, 0.0
-        self.cuts: dict[int, int] = {}  # hall -> cuts that overlap there
+        self.cuts: dict[int, int] = {}  # zone -> cuts that overlap there
 
     # -- what happens to it
 
-    def cut(self, hall: int, on: bool) -> None:
-        """A hall is cut off from all others, or no more; cuts may overlap."""
-        left = self.cuts.get(hall, 0) + (1 if on else -1)
+    def cut(self, zone: int, on: bool) -> None:
+        """A zone is cut off from all others, or no more; cuts may overlap."""
+        left = self.cuts.get(zone, 0) + (1 if on else -1)
         if left > 0:
-            self.cuts[hall] = left
+            self.cuts[zone] = left
         else:
-            self.cuts.pop(hall, None)
+            self.cuts.pop(zone, None)
 
     def far(self, more_ms: float) -> None:
-        """Every message between halls takes so much longer."""
+        """Every message between zones takes so much longer."""
         self.farther_ms = more_ms
 
     def lose(self, share: float | None) -> None:
@@ -57,7 +57,7 @@
     # -- what it does
 
     def reaches(self, one: int, other: int) -> bool:
-        """Clients, who are in no hall, have ways of their own."""
+        """Clients, who are in no zone, have ways of their own."""
         if not self.cuts or one == other or one < 0 or other < 0:
             return True
         return one not in self.cuts and other not in self.cuts
@@ -65,7 +65,7 @@
     def arrival(self, now: float, one: int, other: int, last: float) -> float:
         """When a message sent now arrives, not before `last`, that of the one before on its connection.
 
-        Only to be asked while the halls reach each other.
+        Only to be asked while the zones reach each other.
         """
         if one == other or one < 0 or other < 0:
             way = self.within_ms
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -50,7 +50,7 @@
 
     def decided(self, now: float, serial: int, what: str, executor: str, detail: str) -> None: ...
 
-    def ended(self, now: float, serial: int, executor: str, hall: str, outcome: str, warmth: str) -> None: ...
+    def ended(self, now: float, serial: int, executor: str, zone: str, outcome: str, warmth: str) -> None: ...
 
     def answered(self, now: float, serial: int, kind: str) -> None: ...
 
@@ -134,7 +134,7 @@
         process: str,
         request_classes: list[str],
         tenants: list[str],
-        halls: list[str],
+        zones: list[str],
         machines: list[str],
         order_timeout_ms: float,
         connect: Callable,
@@ -153,8 +153,8 @@
         self.order_timeout_ms, self.connect, self.chance, self.log = order_timeout_ms, connect, chance, log
         self.meter, self.deciding_s = meter, 0.0
         self.requests, self.executors, self.functions = Ids(), Ids(), Ids()
-        self.halls, self.machines = Ids(), Ids()
-        for ids, names in ((self.halls, halls), (self.machines, machines)):
+        self.zones, self.machines = Ids(), Ids()
+        for ids, names in ((self.zones, zones), (self.machines, machines)):
             for each in names:
                 ids.enter(each)
         self.taken: dict[int, Taken] = {}  # by index
@@ -247,7 +247,7 @@
                 Listing(
                     index,
                     line.executor,
-                    self.halls.enter(line.hall)[0],
+                    self.zones.enter(line.zone)[0],
                     self.machines.enter(line.machine)[0],
                     line.cell,
                     STAGES[line.stage],
@@ -289,7 +289,7 @@
     def _note_change(self, now: float, index: int, line: Line, started_ms: float) -> None:
         known = self.front_end.executors.get(index)
         if known is None:
-            self.watch.changed(now, "executor listed", f"{line.executor} {line.stage} in {line.hall}")
+            self.watch.changed(now, "executor listed", f"{line.executor} {line.stage} in {line.zone}")
         elif known.listing.stage is not STAGES[line.stage]:
             self.watch.changed(now, f"executor {line.stage}", line.executor)
         elif started_ms > known.listing.started_ms:
@@ -322,8 +322,8 @@
         now = self.now()
         if self.watch is not None:
             name = self.executors.wire[executor]
-            hall = self.halls.wire.get(self.front_end.executors[executor].listing.hall, "")
-            self.watch.ended(now, serial, name, hall, outcome.label, Warmth(warmth).label)
+            zone = self.zones.wire.get(self.front_end.executors[executor].listing.zone, "")
+            self.watch.ended(now, serial, name, zone, outcome.label, Warmth(warmth).label)
         self.front_end.attempt_ended(
             now, index, number, outcome, now - out.sent_ms, t.answer is None, Warmth(warmth)
         )
--- a/petrelway/front/service.py
+++ b/petrelway/front/service.py
@@ -33,7 +33,7 @@
     return kind(
         now,
         seed,
-        Place(place.number, place.peers, fleet.halls.index(place.hall)),
+        Place(place.number, place.peers, fleet.zones.index(place.zone)),
         made.request_classes,
         made.tenants,
         made.permits,
@@ -103,7 +103,7 @@
             process,
             self.made.request_class_names,
             self.made.tenant_names,
-            fleet.halls,
+            fleet.zones,
             fleet.machines,
             found["keeping"].order_timeout_ms,
             connector(self.reactor),
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -22,7 +22,7 @@
     """Which executors drop the repeats of a stamped request."""
 
     ALL = "all"
-    HALL = "hall"
+    ZONE = "hall"
     CELL = "cell"
 
 
@@ -142,7 +142,7 @@
 
     executor: int
     stable: str
-    hall: int
+    zone: int
     machine: int
     cell: int
     stage: Stage
@@ -155,7 +155,7 @@
 
     number: int
     peers: int
-    hall: int
+    zone: int
 
 
 class Permits(NamedTuple):
--- a/petrelway/listing.py
+++ b/petrelway/listing.py
@@ -11,7 +11,7 @@
     executor: str
     address: str
     port: int
-    hall: str
+    zone: str
     machine: str
     cell: int
     stage: str
--- a/petrelway/node/follower.py
+++ b/petrelway/node/follower.py
@@ -23,7 +23,7 @@
     def __init__(self, follower: Follower) -> None:
         self.follower, self.up, self.lost = follower, False, False
         self.up_ms = 0.0
-        self.bus = Bus(follower.halls, follower.machines, follower)
+        self.bus = Bus(follower.zones, follower.machines, follower)
 
     def connectionMade(self) -> None:
         self.follower.came_up(self)
@@ -47,7 +47,7 @@
         self,
         address: str,
         port: int,
-        halls: list[str],
+        zones: list[str],
         machines: list[str],
         clock: interfaces.IReactorTime,
         connect: Callable,
@@ -55,7 +55,7 @@
         heard: Callable[[list[Line], bool], None],
         log,
     ) -> None:
-        self.address, self.port, self.halls, self.machines = address, port, halls, machines
+        self.address, self.port, self.zones, self.machines = address, port, zones, machines
         self.clock, self.connect, self.heard, self.log = clock, connect, heard, log
         self.backoff = Backoff(chance, RETRY_LEAST_MS, RETRY_MOST_MS)
         self.number = 0  # of the last whole event
@@ -69,7 +69,7 @@
     def start(self, known) -> None:
         """Read the events of the start, then follow. Raises PlatformFault if they can't be read."""
         if known:
-            Bus(self.halls, self.machines, self).known(known)
+            Bus(self.zones, self.machines, self).known(known)
         self._dial()
 
     # -- what the bus says
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -52,7 +52,7 @@
         told.port,
         terms.request_class_names,
         terms.tenant_names,
-        terms.halls,
+        terms.zones,
         terms.machines,
     )
 
@@ -104,7 +104,7 @@
             "",  # the protocol names no process
             terms.request_class_names,
             terms.tenant_names,
-            terms.halls,
+            terms.zones,
             terms.machines,
             terms.keeping.order_timeout_ms,
             self.connect,
@@ -130,7 +130,7 @@
             min(LEAVING_RETRY_MS, terms.permits.longest_retry_ms),
         )
         self.follower = Follower(
-            *told.bus, terms.halls, terms.machines, self.reactor, self.connect, chance, self.listed, self.log
+            *told.bus, terms.zones, terms.machines, self.reactor, self.connect, chance, self.listed, self.log
         )
         self.follower.start(told.known)
         self._beat(self.now())
--- a/petrelway/platform/bus.py
+++ b/petrelway/platform/bus.py
@@ -41,8 +41,8 @@
 class Bus:
     """Collects bytes and tells what they say; holds at most one event and one read in memory."""
 
-    def __init__(self, halls: list[str], machines: list[str], ears: BusEars) -> None:
-        self.halls, self.machines, self.ears = halls, machines, ears
+    def __init__(self, zones: list[str], machines: list[str], ears: BusEars) -> None:
+        self.zones, self.machines, self.ears = zones, machines, ears
         self.held = bytearray()
 
     def feed(self, data: bytes) -> None:
@@ -74,19 +74,19 @@
         address: bytes,
         port: int,
         stage: int,
-        hall: int,
+        zone: int,
         machine: int,
         cell: int,
         weight: int,
         started_ms: int,
     ) -> Line:
-        if stage >= len(STAGES) or hall >= max(1, len(self.halls)) or machine >= max(1, len(self.machines)):
-            raise PlatformFault(f"executor {id:08x} has state {stage}, zone {hall}, kind {machine}")
+        if stage >= len(STAGES) or zone >= max(1, len(self.zones)) or machine >= max(1, len(self.machines)):
+            raise PlatformFault(f"executor {id:08x} has state {stage}, zone {zone}, kind {machine}")
         return Line(
             f"s-{id:08x}",
             ".".join(map(str, address)),
             port,
-            self.halls[hall] if self.halls else "",
+            self.zones[zone] if self.zones else "",
             self.machines[machine] if self.machines else "",
             cell,
             STAGES[stage],
@@ -114,9 +114,9 @@
 
     def _named(self, target: dict[str, Any]) -> Line:
         address, port = target["endpoint"].rsplit(":", 1)
-        hall, machine = str(target.get("az", "")), str(target.get("model", ""))
-        if self.halls and hall not in self.halls or self.machines and machine not in self.machines:
-            raise PlatformFault(f"known: {target['uid']!r} is in {hall!r} of kind {machine!r}")
+        zone, machine = str(target.get("az", "")), str(target.get("model", ""))
+        if self.zones and zone not in self.zones or self.machines and machine not in self.machines:
+            raise PlatformFault(f"known: {target['uid']!r} is in {zone!r} of kind {machine!r}")
         weight, started_ms = float(target.get("capacity_hint") or 1.0), float(target.get("boot_ms") or 0.0)
         if not (math.isfinite(weight) and math.isfinite(started_ms) and 0 < int(port) < 65536):
             raise PlatformFault(f"known: {target['uid']!r} has figures that can't be used")
@@ -124,7 +124,7 @@
             str(target["uid"]),
             address,
             int(port),
-            hall,
+            zone,
             machine,
             int(target.get("pod_group") or 0),
             STAGE_NAMES[target["state"]],
--- a/petrelway/rehearsal/benchday.py
+++ b/petrelway/rehearsal/benchday.py
@@ -1,6 +1,6 @@
 """Reads a bench's day file and makes a day of ours of it, scaled to this machine; says what it leaves out.
 
-The file is JSON; its times are microseconds. Read are fleet, halls, clients, request classes, tenants, loads
+The file is JSON; its times are microseconds. Read are fleet, zones, clients, request classes, tenants, loads
 and troubles.
 """
 
@@ -82,12 +82,12 @@
 
 
 def _fleet(day: Tree, scale: float, left_out: list[str]) -> dict[str, Any]:
-    halls = [str(z.value) for z in day["zones"].each()]
+    zones = [str(z.value) for z in day["zones"].each()]
     tier, fam = day["tiers"][0], day["fam"]
     if len(day["tiers"].each()) > 1:
         left_out.append("tiers after the first")
     running = [s for s in day["servers"].each() if s["up"].value]
-    executors = min(EXECUTORS_BOUND, max(len(halls), round(len(running) * scale)))
+    executors = min(EXECUTORS_BOUND, max(len(zones), round(len(running) * scale)))
     fronts = min(FRONTS_BOUND, max(1, round(len(day["balancers"].each()) * scale)))
     kinds, cores, speeds = [], 0.0, 0.0
     for i, kind in enumerate(tier["kinds"].each()):
@@ -161,7 +161,7 @@
     return {
         "day": {"length_s": min(length, LENGTH_BOUND_S), "seed": int(day.get("noise", 1)) % 1_000_000},
         "fleet": {
-            "halls": halls,
+            "halls": zones,
             "executors": executors,
             "fronts": fronts,
             "kinds": kinds,
--- a/petrelway/rehearsal/conductor.py
+++ b/petrelway/rehearsal/conductor.py
@@ -227,8 +227,8 @@
         if day["fleet"].workers:
             self._start_workers()
         else:
-            for hall in range(len(day["fleet"].halls)):
-                self._spawn(f"executors-{hall}", "standin", "executors", str(self.folder), str(hall))
+            for zone in range(len(day["fleet"].zones)):
+                self._spawn(f"executors-{zone}", "standin", "executors", str(self.folder), str(zone))
         if "peers" in plan.ports:
             self._spawn("fault-proxy", "standin", "fault-proxy", str(self.folder))
         for number in range(day["fleet"].fronts):
@@ -307,7 +307,7 @@
         self.starts += 1
         process = f"w{number}-{self.starts}"
         cap = fleet.kinds[post.kind].cores * post.speed
-        self.record.note("up", ex=post.name, p=process, hall=post.hall, cell=post.cell, cap=cap, cold=cold)
+        self.record.note("up", ex=post.name, p=process, hall=post.zone, cell=post.cell, cap=cap, cold=cold)
         self.workers[number] = self._spawn(
             f"{post.name}-{self.starts}", "worker", "serve", str(write_worker(self.plan, number)),
             "--record", str(self.folder / f"{process}.jsonl"), "--epoch-ms", str(self.plan.epoch_ms),
--- a/petrelway/rehearsal/fronts.py
+++ b/petrelway/rehearsal/fronts.py
@@ -22,14 +22,14 @@
     settings = {
         "front_end": {
             "name": f"front-{number}",
-            "hall": fleet.halls[number % len(fleet.halls)],
+            "hall": fleet.zones[number % len(fleet.zones)],
             "number": number,
             "peers": fleet.fronts,
             "seed": day["day"].seed % 1_000_000 * 1000 + number,
         },
         "listen": {"port": port},
         "roster": {"port": roster_port},
-        "fleet": {"halls": fleet.halls, "machines": [k.name for k in fleet.kinds]},
+        "fleet": {"halls": fleet.zones, "machines": [k.name for k in fleet.kinds]},
         "functions": [*told, {"name": "once-*", "memory_mb": 300.0, "lanes": 4}],
         "log": log or {},
     }
--- a/petrelway/rehearsal/inmemory.py
+++ b/petrelway/rehearsal/inmemory.py
@@ -109,8 +109,8 @@
         self.fronts: dict[int, tuple[Process, Daemon]] = {}
         self.starts = 0
         play_services(Process(self.world, "services"), plan)
-        for hall in range(len(plan.day["fleet"].halls)):
-            play_executors(Process(self.world, f"executors {hall}"), plan, hall)
+        for zone in range(len(plan.day["fleet"].zones)):
+            play_executors(Process(self.world, f"executors {zone}"), plan, zone)
         for number in range(plan.day["fleet"].fronts):
             self._start(number)
         for number in range(plan.day["traffic"].clients):
--- a/petrelway/rules/checker.py
+++ b/petrelway/rules/checker.py
@@ -39,7 +39,7 @@
 
 class RequestClassRule(NamedTuple):
     effect: str  # harmless, stamped or one-shot
-    scope: str  # all, hall or cell
+    scope: str  # all, zone or cell
     window_ms: float
     mean_work_ms: float
 
--- a/petrelway/settings/days.py
+++ b/petrelway/settings/days.py
@@ -78,7 +78,7 @@
 
 
 class ExecutorFleet(Strict):
-    halls: Annotated[list[Name], Meta(min_length=1, max_length=20)]
+    zones: Annotated[list[Name], Meta(min_length=1, max_length=20)] = field(name="halls")
     executors: Annotated[int, Meta(ge=1, le=10_000)]
     kinds: Annotated[list[MachineKind], Meta(min_length=1, max_length=20)]
     fronts: Annotated[int, Meta(ge=1, le=5_000)] = 3
@@ -144,8 +144,8 @@
 class NetworkTerms(Strict):
     """One way, in ms, for one message; only an emulation has it."""
 
-    within_ms: Ms = 0.2  # within a hall, clients included
-    between_ms: Ms = 0.5  # from hall to hall
+    within_ms: Ms = 0.2  # within a zone, clients included
+    between_ms: Ms = 0.5  # from zone to zone
     jitter: Share = 0.2  # of it, drawn anew for each message
     loss: Share = 0.0  # messages that must be sent again
     again_ms: Ms = 200.0  # and how long that takes
@@ -159,7 +159,7 @@
     size: Annotated[float, Meta(ge=0)] = 1.0
     extra: Annotated[float, Meta(ge=0)] = 0.0
     how: str = ""
-    which: Count = 0  # hall, tenant or request class by number
+    which: Count = 0  # zone, tenant or request class by number
     on: list[Count] = []  # executors or front ends by number; left out: drawn
 
 
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -26,7 +26,7 @@
 
 class FrontEndPlace(Strict):
     name: Name
-    hall: Name
+    zone: Name = field(name="hall")
     number: Count = 0
     peers: Annotated[int, Meta(ge=1, le=100_000)] = 1
     seed: int = 0
@@ -38,9 +38,9 @@
 
 
 class Fleet(Strict):
-    """Names that the roster uses for halls and machine kinds."""
+    """Names that the roster uses for zones and machine kinds."""
 
-    halls: list[Name]
+    zones: list[Name] = field(name="halls")
     machines: list[Name] = []
 
 
@@ -236,9 +236,9 @@
     """What must hold between values that are each well formed."""
     faults = []
     place, fleet = found["front_end"], found["fleet"]
-    if place.hall not in fleet.halls:
+    if place.zone not in fleet.zones:
         faults.append(
-            Fault("front_end.hall", repr(place.hall), "one of fleet.halls: " + ", ".join(fleet.halls))
+            Fault("front_end.hall", repr(place.zone), "one of fleet.halls: " + ", ".join(fleet.zones))
         )
     if place.number >= place.peers:
         faults.append(Fault("front_end.number", str(place.number), f"0 to peers - 1 = {place.peers - 1}"))
--- a/petrelway/standin/life.py
+++ b/petrelway/standin/life.py
@@ -99,7 +99,7 @@
             "up",
             ex=self.post.name,
             p=self.process,
-            hall=self.post.hall,
+            hall=self.post.zone,
             cell=self.post.cell,
             cap=kind.cores * self.post.speed,
             cold=bool(cold),
--- a/petrelway/standin/parts.py
+++ b/petrelway/standin/parts.py
@@ -55,9 +55,9 @@
     reactor.addSystemEventTrigger("after", "shutdown", record.close)
 
 
-def play_executors(reactor, plan: Plan, hall: int) -> None:
-    """All executors of one hall, in one process."""
-    record = plan.record(f"executors-{hall}", reactor)
+def play_executors(reactor, plan: Plan, zone: int) -> None:
+    """All executors of one zone, in one process."""
+    record = plan.record(f"executors-{zone}", reactor)
     store = StoreClient()
     reactor.connectTCP("127.0.0.1", plan.ports["store"], store)
     truths = {f.name: f for f in functions(plan.day)}
@@ -66,7 +66,7 @@
     groups: dict[int, Marks] = {}
     executors = {}
     for post in plan.script.posts:
-        if post.hall != hall:
+        if post.zone != zone:
             continue
         group = post.cell if scopes == {"cell"} else -1
         marks = groups.setdefault(group, Marks(window))
--- a/petrelway/standin/roster.py
+++ b/petrelway/standin/roster.py
@@ -23,8 +23,8 @@
 
 def _line(day, post: Post, port: int, stage: str, started_ms: float) -> listing.Line:
     fleet = day["fleet"]
-    hall, machine = fleet.halls[post.hall], fleet.kinds[post.kind].name
-    return listing.Line(post.name, "127.0.0.1", port, hall, machine, post.cell, stage, 1.0, started_ms)
+    zone, machine = fleet.zones[post.zone], fleet.kinds[post.kind].name
+    return listing.Line(post.name, "127.0.0.1", port, zone, machine, post.cell, stage, 1.0, started_ms)
 
 
 def first_lines(day: dict[str, Any], script: Script, ports: Sequence[int]) -> list[listing.Line]:
--- a/petrelway/standin/script.py
+++ b/petrelway/standin/script.py
@@ -19,7 +19,7 @@
 
     number: int
     name: str
-    hall: int
+    zone: int
     cell: int
     kind: int
     speed: float
@@ -63,7 +63,7 @@
     """The script of a day's sections."""
     fleet, times = day["fleet"], day["day"]
     chance = random.Random(f"{times.seed}/posts")
-    posts = [_post(fleet, chance, i, i % len(fleet.halls), 0.0) for i in range(fleet.executors)]
+    posts = [_post(fleet, chance, i, i % len(fleet.zones), 0.0) for i in range(fleet.executors)]
     happenings: list[Happening] = []
     alive = list(range(fleet.executors))
     for i, trouble in enumerate(day["troubles"]):
@@ -129,10 +129,10 @@
     return found
 
 
-def _post(fleet, chance: random.Random, number: int, hall: int, begins_ms: float) -> Post:
+def _post(fleet, chance: random.Random, number: int, zone: int, begins_ms: float) -> Post:
     kind = chance.choices(range(len(fleet.kinds)), [k.share for k in fleet.kinds])[0]
     speed = chance.uniform(*fleet.kinds[kind].speed)
-    return Post(number, f"executor-{number}", hall, number // fleet.cell_size, kind, speed, begins_ms)
+    return Post(number, f"executor-{number}", zone, number // fleet.cell_size, kind, speed, begins_ms)
 
 
 def _some(chance: random.Random, among: list[int], part: float) -> list[int]:
@@ -161,7 +161,7 @@
     elif x.kind == "zone_loss":
         silent = x.how == "silent"
         for post in list(posts):
-            if post.hall == x.which % len(fleet.halls) and post.begins_ms <= at:
+            if post.zone == x.which % len(fleet.zones) and post.begins_ms <= at:
                 add.append(Happening(at, "executor", post.number, "freeze" if silent else "die"))
                 # what was silent for so long has been restarted by its operators
                 if silent:
@@ -169,7 +169,7 @@
                 add.append(Happening(end, "executor", post.number, "start"))
         if x.size > 0.5:
             for f in range(fleet.fronts):
-                if f % len(fleet.halls) == x.which % len(fleet.halls):
+                if f % len(fleet.zones) == x.which % len(fleet.zones):
                     add.append(Happening(at, "front", f, "kill"))
                     add.append(Happening(end, "front", f, "start"))
     elif x.kind == "deploy":
@@ -179,7 +179,7 @@
         for i, some in enumerate(rounds):
             begin = at + i * (end - at) / len(rounds)
             for old in some:
-                new = _post(fleet, chance, len(posts), posts[old].hall, begin)._replace(
+                new = _post(fleet, chance, len(posts), posts[old].zone, begin)._replace(
                     cell=posts[old].cell, kind=posts[old].kind
                 )
                 posts.append(new)
--- a/petrelway/standin/traffic.py
+++ b/petrelway/standin/traffic.py
@@ -65,12 +65,12 @@
             self.traffic.shares.get(t.name, 0.0 if self.traffic.shares else 1.0) for t in self.request_classes
         ]
         self.portions = [c.portion for c in day["customers"]]
-        halls = len(self.fleet.halls)
-        self.fronts = [[f for f in range(self.fleet.fronts) if f % halls == h] for h in range(halls)]
-        self.halls = [float(len(f)) for f in self.fronts]
+        zones = len(self.fleet.zones)
+        self.fronts = [[f for f in range(self.fleet.fronts) if f % zones == h] for h in range(zones)]
+        self.zones = [float(len(f)) for f in self.fronts]
         self.burst, self.scan, self.once = 1.0, 0.0, 0
         self.heavy = (1.0, 0.0, 0)  # times, share, request class
-        self.moving = (0.0, 0.0, 0.0, 0)  # from, until, share, hall
+        self.moving = (0.0, 0.0, 0.0, 0)  # from, until, share, zone
 
     def happen(self, h: Happening, now: float) -> None:
         if h.what in ("burst", "end burst"):
@@ -84,7 +84,7 @@
                 else (1.0, 0.0, 0)
             )
         elif h.what == "shift":
-            self.moving = (now, now + 1000.0, h.size, h.which % len(self.halls))
+            self.moving = (now, now + 1000.0, h.size, h.which % len(self.zones))
 
     def wait(self) -> float:
         """Until the next arrival, in ms."""
@@ -112,9 +112,9 @@
         return Asked(request_class, tenant, f, self._front(now), work_ms, io, hint)
 
     def _front(self, now: float) -> int:
-        begin, end, share, hall = self.moving
+        begin, end, share, zone = self.moving
         if end and self.chance.random() < share * min(1.0, max(0.0, (now - begin) / (end - begin))):
-            fronts = self.fronts[hall] or [0]
+            fronts = self.fronts[zone] or [0]
         else:
-            fronts = self.chance.choices(self.fronts, self.halls)[0]
+            fronts = self.chance.choices(self.fronts, self.zones)[0]
         return self.chance.choice(fronts)
--- a/petrelway/terms.py
+++ b/petrelway/terms.py
@@ -23,7 +23,7 @@
 )
 
 EFFECTS = {"retryable": Effect.HARMLESS, "dedup": Effect.STAMPED, "fragile": Effect.ONE_SHOT}
-SCOPES = {"all": Scope.ALL, "zone": Scope.HALL, "cell": Scope.CELL}
+SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
 class Terms(NamedTuple):
@@ -38,7 +38,7 @@
     ration: LoadRation
     request_class_names: list[str]
     tenant_names: list[str]
-    halls: list[str]
+    zones: list[str]
     machines: list[str]
     streams: int  # attempts that one connection may carry together
     connect_ms: float  # a connection that is not up by then counts as unreachable
@@ -169,7 +169,7 @@
     classes, orgs = told.parts("classes"), told.parts("orgs")
     if not classes:
         raise told.fault("classes", "one or more")
-    names, halls = [c.name("name") for c in classes], told.names("zones")
+    names, zones = [c.name("name") for c in classes], told.names("zones")
     if len(set(names)) < len(names):
         raise told.fault("classes", "names that differ")
     request_classes = [_request_class(c) for c in classes]
@@ -177,7 +177,7 @@
     place = Place(
         told.whole("position", 0, 10**6, 0),
         told.whole("peersTotal", 1, 10**6),
-        told.whole("zone", 0, max(0, len(halls) - 1), 0),
+        told.whole("zone", 0, max(0, len(zones) - 1), 0),
     )
     limits, family, rules = (told.part(key) for key in ("limits", "familyInfo", "invariants"))
     permits = Permits(
@@ -223,7 +223,7 @@
         ration,
         names,
         [o.name("name") for o in orgs],
-        halls,
+        zones,
         told.names("kinds"),
         limits.whole("multiplex", 1, 10**6),
         limits.number("connectTimeoutS", 1e3, LEAST, SECONDS),
--- a/petrelway/wire/listing.py
+++ b/petrelway/wire/listing.py
@@ -23,7 +23,17 @@
 def listed(serial: int, complete: bool, lines: Iterable[Line]) -> bytes:
     message = pb.FromRoster(version=VERSION, serial=serial, complete=complete)
     for line in lines:
-        message.lines.add(**line._replace(stage=STAGES.index(line.stage))._asdict())
+        message.lines.add(
+            executor=line.executor,
+            address=line.address,
+            port=line.port,
+            hall=line.zone,
+            machine=line.machine,
+            cell=line.cell,
+            stage=STAGES.index(line.stage),
+            weight=line.weight,
+            started_ms=line.started_ms,
+        )
     return frame(message.SerializeToString())
 
 
--- a/tests/compatibility/forms_policy_change.py
+++ b/tests/compatibility/forms_policy_change.py
@@ -78,7 +78,7 @@
 
 def document(name: str) -> str:
     """The terms that are checked in under this name, as a canonical document."""
-    alone = {"front_end": FrontEndPlace(name="-", hall="-"), "fleet": Fleet(halls=["-"])}
+    alone = {"front_end": FrontEndPlace(name="-", zone="-"), "fleet": Fleet(zones=["-"])}
     return canonical(check(name, read_form(TOPIC, name), alone))
 
 
--- a/tests/compatibility/forms_policy_document.py
+++ b/tests/compatibility/forms_policy_document.py
@@ -33,7 +33,7 @@
 
 def reread() -> list[Any]:
     """What a member makes of a document that comes from elsewhere: the same text, or the faults."""
-    alone = {"front_end": FrontEndPlace(name="-", hall="-"), "fleet": Fleet(halls=["-"])}
+    alone = {"front_end": FrontEndPlace(name="-", zone="-"), "fleet": Fleet(zones=["-"])}
     found: list[Any] = [document.canonical(document.read(text, alone)) for text in canonical_texts()]
     for title, text in load(TOPIC, "faulty.json"):
         try:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -53,9 +53,9 @@
         if executors:
             self.lists(dict.fromkeys(range(executors), Stage.READY), started=started or {})
 
-    def lists(self, stages, complete=True, started=None, halls=2):
+    def lists(self, stages, complete=True, started=None, zones=2):
         lines = [
-            Listing(e, f"e{e}", e % halls, 0, e // 2, s, 1.0, (started or {}).get(e, 0.0))
+            Listing(e, f"e{e}", e % zones, 0, e // 2, s, 1.0, (started or {}).get(e, 0.0))
             for e, s in stages.items()
         ]
         self.fe.executors_listed(self.now, lines, complete)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -254,7 +254,7 @@
     expected = [
         ("listed", 1, True, [first, second]),
         ("nothing_new", 1),
-        ("listed", 2, False, [second._replace(stage="gone", hall="east", weight=1.0, started_ms=0.0)]),
+        ("listed", 2, False, [second._replace(stage="gone", zone="east", weight=1.0, started_ms=0.0)]),
     ]
     for at in range(len(whole)):
         ears = Said()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -825,7 +825,7 @@
     "tariffs": [{"name": "quick", "effect": "harmless", "quoted_ms": 500, "outer_ms": 1000}],
     "functions": [{"name": "station-*", "memory_mb": 100, "lanes": 2}],
 }
-ALONE = {"front_end": FrontEndPlace(name="-", hall="-"), "fleet": Fleet(halls=["-"])}
+ALONE = {"front_end": FrontEndPlace(name="-", zone="-"), "fleet": Fleet(zones=["-"])}
 
 
 def test_one_document_has_one_form():
--- a/tests/test_policy_process.py
+++ b/tests/test_policy_process.py
@@ -47,7 +47,7 @@
         self.parts = [
             self._run("standin", *words)
             for words in (("services", str(folder)), ("fault-proxy", str(folder)),
-                          *(("executors", str(folder), str(hall)) for hall in range(3)),
+                          *(("executors", str(folder), str(zone)) for zone in range(3)),
                           ("clients", str(folder), "0"))
         ]  # fmt: skip
         self.fronts = [self._start(number) for number in range(SIZE)]
--- a/tests/test_ranking_front_end.py
+++ b/tests/test_ranking_front_end.py
@@ -377,9 +377,9 @@
     (Scope.CELL, 3000.0, True, "SEND"),
     (Scope.CELL, 3960.0, True, "BREAK_OFF"),  # the key is nearly forgotten
     (Scope.CELL, 0.0, False, "BREAK_OFF"),
-    (Scope.HALL, 0.0, True, "SEND"),
-    (Scope.HALL, 3960.0, True, "BREAK_OFF"),
-    (Scope.HALL, 0.0, False, "BREAK_OFF"),
+    (Scope.ZONE, 0.0, True, "SEND"),
+    (Scope.ZONE, 3960.0, True, "BREAK_OFF"),
+    (Scope.ZONE, 0.0, False, "BREAK_OFF"),
 ]
 
 
@@ -397,7 +397,7 @@
 
     def group(number):
         listing = registry.listing(number)
-        return listing.cell if scope is Scope.CELL else listing.hall
+        return listing.cell if scope is Scope.CELL else listing.zone
 
     mates = {number for number in registry.stages if group(number) == group(first)}
     gone = set(window) - mates | {first} if others else set(window) | mates
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from petrelway.interface import Effect, Outcome, Part, Scope, Stage, Verb
 
 H, S, ONE = Effect.HARMLESS, Effect.STAMPED, Effect.ONE_SHOT
-ALL, HALL, CELL = Scope.ALL, Scope.HALL, Scope.CELL
+ALL, ZONE, CELL = Scope.ALL, Scope.ZONE, Scope.CELL
 FULFILLED, ERROR, FULL, TIMEOUT = Outcome.FULFILLED, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT
 UNREACHABLE, RESET, WITHDRAWN, UNSENT = Outcome.UNREACHABLE, Outcome.RESET, Outcome.WITHDRAWN, Outcome.UNSENT
 
@@ -39,14 +39,14 @@
 
 
 def test_no_effect_twice():
-    # effect, scope, outcome of the first, waited ms, does a repeat go out, hall and cell kept
+    # effect, scope, outcome of the first, waited ms, does a repeat go out, zone and cell kept
     table = [
         (H, ALL, ERROR, 0.0, "SEND", None),
         (H, ALL, TIMEOUT, 3000.0, "SEND", None),
         (S, ALL, ERROR, 0.0, "SEND", None),
         (S, ALL, RESET, 3960.0, "NACK", None),  # the mark is nearly forgotten
-        (S, HALL, ERROR, 0.0, "SEND", "hall"),
-        (S, HALL, RESET, 3960.0, "BREAK_OFF", None),
+        (S, ZONE, ERROR, 0.0, "SEND", "hall"),
+        (S, ZONE, RESET, 3960.0, "BREAK_OFF", None),
         (S, CELL, ERROR, 0.0, "SEND", "cell"),
         (S, CELL, WITHDRAWN, 3960.0, "BREAK_OFF", None),
         (ONE, ALL, ERROR, 0.0, "BREAK_OFF", None),
@@ -55,7 +55,7 @@
         (ONE, ALL, UNREACHABLE, 0.0, "SEND", None),
         (ONE, ALL, FULL, 0.0, "SEND", None),
         (ONE, ALL, UNSENT, 0.0, "SEND", None),
-        (S, HALL, FULL, 3960.0, "SEND", None),  # it never ran: anywhere, any time
+        (S, ZONE, FULL, 3960.0, "SEND", None),  # it never ran: anywhere, any time
     ]
     for effect, scope, outcome, waited, expected, group in table:
         host = Host(8, effect, scope, seconds=False)
@@ -138,7 +138,7 @@
 
 def test_what_was_out_together_binds():
     """Danger: a stamped request waits for a load, which fails: it never ran, but binds what was beside it."""
-    host = Host(8, Effect.STAMPED, Scope.HALL)
+    host = Host(8, Effect.STAMPED, Scope.ZONE)
     for e in range(8):
         host.teach(e)
     t = host.take(remaining=9000.0)
--- a/tests/test_top.py
+++ b/tests/test_top.py
@@ -27,7 +27,7 @@
         app = Top(lambda page, **query: PAGES[page], 60.0)
         async with app.run_test(size=(120, 40)) as pilot:
             await pilot.pause()
-            assert column(app, "executors", 1) == ["e2", "[red]e1"]  # by hall
+            assert column(app, "executors", 1) == ["e2", "[red]e1"]  # by zone
             app.query_one("#table-executors", DataTable).focus()
             for _ in range(4):
                 await pilot.press("s")
