--- a/benchmarks/capacity_front_end_calls.py
+++ b/benchmarks/capacity_front_end_calls.py
@@ -184,7 +184,7 @@
 
     def end(self, request: int, number: int, took_ms: float, warmth: Warmth) -> None:
         ended = self.front_end.attempt_ended
-        self.input(Work.CALLS, ended, request, number, Outcome.FULFILLED, took_ms, True, warmth)
+        self.input(Work.CALLS, ended, request, number, Outcome.SUCCEEDED, took_ms, True, warmth)
         for released in self.rig.released.requests:
             self.attempts.pop(released, None)
 
--- a/benchmarks/capacity_front_end_rig.py
+++ b/benchmarks/capacity_front_end_rig.py
@@ -147,6 +147,6 @@
         """The last request's first attempt is served."""
         self.now_ms += took_ms
         self.front_end.attempt_ended(
-            self.now_ms, self.requests - 1, 0, Outcome.FULFILLED, took_ms, True, Warmth.FOUND
+            self.now_ms, self.requests - 1, 0, Outcome.SUCCEEDED, took_ms, True, Warmth.FOUND
         )
         self.turn()
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -113,7 +113,7 @@
         self.call("time_passed", self.now)
 
     def end(self, t: int, number: int, sent_ms: float, warmth: Warmth) -> None:
-        self.call("attempt_ended", self.now, t, number, Outcome.FULFILLED, self.now - sent_ms, True, warmth)
+        self.call("attempt_ended", self.now, t, number, Outcome.SUCCEEDED, self.now - sent_ms, True, warmth)
 
     def pull(self) -> None:
         while (d := self.call("decide", self.now)) is not None:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -81,13 +81,13 @@
 
 
 class SpreadRetry(FrontEnd):
-    """Nacks at once in a jam, with retry times spread over the longest allowed."""
+    """Rejects at once in a jam, with retry times spread over the longest allowed."""
 
     def _give_up(self, t):
         d = super()._give_up(t)
-        if d.verb is Verb.NACK:
+        if d.verb is Verb.REJECT:
             longest = self.permits.longest_retry_ms
-            return Decision(Verb.NACK, t.index, ms=longest * (0.5 + 0.5 * self.chance.random()))
+            return Decision(Verb.REJECT, t.index, ms=longest * (0.5 + 0.5 * self.chance.random()))
         return d
 
 
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -66,7 +66,7 @@
 WINDOW_EARLY_MS = 60.0  # a stamped repeat must arrive this long before its mark is forgotten
 COLD_MARGIN = 0.6  # share of what rule 4 lets a front end send, for bursts and chance ...
 COLD_LUCK = 0.6  # ... and of that, where its own share is a fraction of one request
-RATE_SPAN_MS = 10000.0  # span over which fulfilled requests are averaged for rule 4
+RATE_SPAN_MS = 10000.0  # span over which succeeded requests are averaged for rule 4
 RATION_EDGE_MS = 20.0  # both edges of the ration's window are read to our disadvantage
 ASKED_SPAN_MS = 40000.0  # span over which a function's share of the requests is averaged
 ASKED_PRIOR = 10.0  # requests of other functions assumed before any came
@@ -128,7 +128,7 @@
         self.cold, self.ration, self.told_rate = cold, ration, told_rate  # the rate: of all front ends, a ms
         self.strict, self.chance, self.start = (told_rate, start), chance, start  # the least rate told lately
         self.own, self.part = own, Part(own, start)  # shares of the fleet's rations: what is told has an end
-        self.seen: dict[int, tuple[float, float]] = {}  # machine kind -> decayed count of fulfilled, time
+        self.seen: dict[int, tuple[float, float]] = {}  # machine kind -> decayed count of succeeded, time
         self.usual: dict[int, float] = {}  # what a warm one of the kind carries of our requests, a ms
         self.taken, self.ordered = deque[float](), deque[float]()
 
@@ -220,8 +220,8 @@
         while self.taken and self.taken[0] < now - window_ms + RATION_EDGE_MS:
             self.taken.popleft()
 
-    def nack(self, t: Request) -> bool:
-        """Rule 2: a nack says that a repeat does no harm."""
+    def reject(self, t: Request) -> bool:
+        """Rule 2: a reject says that a repeat does no harm."""
         if not (t.ran or t.out) or t.request_class.effect is Effect.HARMLESS:
             return True
         return t.request_class.effect is Effect.STAMPED and t.request_class.scope is Scope.ALL
@@ -341,7 +341,7 @@
         t.answered = t.answered or finished
         if sent.sent_ms >= e.listing.started_ms or not e.listing.started_ms:
             self._learn(now, t, sent, outcome, took_ms, warmth)
-        if outcome not in (Outcome.FULFILLED, Outcome.WITHDRAWN, Outcome.MISS):
+        if outcome not in (Outcome.SUCCEEDED, Outcome.WITHDRAWN, Outcome.MISS):
             t.tried.add(e.listing.executor)
         self.attention.append(request)
 
@@ -352,10 +352,10 @@
         # danger: one that fails fast always has a free lane, and may fail one request class only: the answers to the
         # others heal its pace. What nobody ever served fails anywhere, and says nothing of it
         failed = outcome is Outcome.ERROR and f.mean_ms and warmth is not Warmth.LOAD_FAILED
-        if failed or outcome is Outcome.FULFILLED and t.kind in e.errors:
+        if failed or outcome is Outcome.SUCCEEDED and t.kind in e.errors:
             share = self._errors(e, t.kind, now)
             e.errors[t.kind] = share + ERRORS_GAIN * (bool(failed) - share), now
-        if outcome is Outcome.FULFILLED:
+        if outcome is Outcome.SUCCEEDED:
             self._skilled(e, f, now)
             e.refused.pop(t.tenant, None)
             if self._untimely(now):  # danger: the time of an own stall proves nothing against executors
@@ -438,7 +438,7 @@
             return
         e.loaded(function)
         self._store_seen(f, outcome, took_ms, now)
-        if outcome is Outcome.FULFILLED and copies > 0:
+        if outcome is Outcome.SUCCEEDED and copies > 0:
             self._skilled(e, f, now)
             self._load_seen(f, took_ms)
         self.attention.extend(f.held)
@@ -446,13 +446,13 @@
     def _store_seen(self, f: Function, outcome: Outcome, took_ms: float, now: float) -> None:
         """Danger: copies lost in many places are loaded anew at once by all front ends, and the one store
         that they share stops when pushed far over what it can give: then nothing loads for seconds."""
-        if outcome is Outcome.FULFILLED and took_ms < STOOD_MS:
+        if outcome is Outcome.SUCCEEDED and took_ms < STOOD_MS:
             return  # danger: a copy stood; taken for the usual time, it makes each load look slow
         usual = f.usual_load_ms = f.usual_load_ms or took_ms
-        if outcome is Outcome.ERROR or outcome is Outcome.FULFILLED and took_ms > LOADS_SLOW * usual:
+        if outcome is Outcome.ERROR or outcome is Outcome.SUCCEEDED and took_ms > LOADS_SLOW * usual:
             if now > self.loads_cut_ms + usual:
                 self.loads, self.loads_cut_ms = max(1.0, LOADS_CUT * self.loads), now
-        elif outcome is Outcome.FULFILLED and len(self.under_way) + 1 >= self.loads:
+        elif outcome is Outcome.SUCCEEDED and len(self.under_way) + 1 >= self.loads:
             self.loads += LOADS_GROW / self.loads
 
     def client_gone(self, now: float, request: int) -> None:
@@ -579,9 +579,9 @@
     def _give_up(self, t: Request) -> Decision:
         """Rule 1: the one final answer, at once."""
         t.answered = True
-        if self.gate.nack(t):
-            return Decision(Verb.NACK, t.index, ms=min(t.permits.longest_retry_ms, self.mean_ms))
-        return Decision(Verb.BREAK_OFF, t.index)
+        if self.gate.reject(t):
+            return Decision(Verb.REJECT, t.index, ms=min(t.permits.longest_retry_ms, self.mean_ms))
+        return Decision(Verb.FAIL, t.index)
 
     def _place(self, t: Request, now: float) -> Decision | None:
         f = t.function
--- a/petrelway/console/telemetry.py
+++ b/petrelway/console/telemetry.py
@@ -211,7 +211,7 @@
         return sum(fields.get(kind, 0) for kind in ("fulfilled", "nacked", "broken off", "gone"))
 
     def quantiles(self, now: float, request_class: str) -> dict[str, float]:
-        """Of fulfilled answers over the last hour at the most, in ms."""
+        """Of succeeded answers over the last hour at the most, in ms."""
         merged = HdrHistogram(1, LATENCY_MOST_MS, 2)
         for slot, histogram in self.latency[request_class]:
             if slot > int(now // SLOT_MS) - LATENCY_SLOTS:
--- a/petrelway/daemon/service.py
+++ b/petrelway/daemon/service.py
@@ -155,7 +155,7 @@
             "step": int(self.shedder.step),
             "terms": "" if self.policy is None else self.policy.held(),
             "pressures": {k: round(v, 3) for k, v in self.shedder.pressures._asdict().items()},
-            "nacked untaken": dict(sorted(self.shedder.nacked.items())),
+            "nacked untaken": dict(sorted(self.shedder.rejected.items())),
             "background": {
                 "share": round(p.present_share(), 4),
                 "tasks": len(p.tasks),
--- a/petrelway/daemon/shedding.py
+++ b/petrelway/daemon/shedding.py
@@ -6,10 +6,10 @@
 | --- | --- | --- |
 | 0 | - | nothing |
 | 1 | 0.8 | live pages slow down |
-| 2 | 1.0 | repeats of requests are nacked |
-| 3 | 1.2 | requests of tenants over their share are nacked |
-| 4 | 1.5 | of all others a part is nacked, the same part of each tenant's share |
-| 5 | 2.0 | all are nacked |
+| 2 | 1.0 | repeats of requests are rejected |
+| 3 | 1.2 | requests of tenants over their share are rejected |
+| 4 | 1.5 | of all others a part is rejected, the same part of each tenant's share |
+| 5 | 2.0 | all are rejected |
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
         self.owed: list[float] = [0.0] * max(
             1, len(portions)
         )  # parts of requests that a tenant still may send
-        self.nacked: Counter[str] = Counter()
+        self.rejected: Counter[str] = Counter()
 
     def told(self, portions: list[float]) -> None:
         """Other shares; a tenant keeps its index, and what it was seen to ask."""
@@ -92,22 +92,22 @@
 
     def shut(self) -> float:
         """While nothing is taken: the retry time in ms for all, before what they ask is read; else 0."""
-        return self._nack("all") if self.step is Step.ALL else 0.0
+        return self._reject("all") if self.step is Step.ALL else 0.0
 
     def ask(self, now: float, tenant: int, repeat: bool) -> float:
-        """0 to take it, else the retry time in ms of the nack that it gets at once."""
+        """0 to take it, else the retry time in ms of the reject that it gets at once."""
         for i in (tenant, -1):  # these two alone: a settings file may list thousands of tenants
             self.asked[i] = self._faded(i, now) + 1.0, now
         if self.step < Step.REPEATS:
             return 0.0
         if self.step is Step.ALL:
-            return self._nack("all")
+            return self._reject("all")
         if repeat:
-            return self._nack("repeat")
+            return self._reject("repeat")
         if self.step >= Step.OVER_SHARE and self.over(tenant, now):
-            return self._nack("over share")
+            return self._reject("over share")
         if self.step >= Step.FAIR_PART and not self._part(tenant):
-            return self._nack("fair part")
+            return self._reject("fair part")
         return 0.0
 
     def _faded(self, i: int, now: float) -> float:
@@ -131,7 +131,7 @@
             return True
         return False
 
-    def _nack(self, why: str) -> float:
-        self.nacked[why] += 1
+    def _reject(self, why: str) -> float:
+        self.rejected[why] += 1
         worst = max(self.pressures)
         return min(RETRY_MOST_MS, RETRY_MS * worst * worst * (0.75 + 0.5 * self.chance.random()))
--- a/petrelway/drill/codec.py
+++ b/petrelway/drill/codec.py
@@ -10,7 +10,7 @@
 
 STAGES = {"active": Stage.READY, "leaving": Stage.DRAINING, "left": Stage.GONE}
 OUTCOMES = {
-    "S": Outcome.FULFILLED,
+    "S": Outcome.SUCCEEDED,
     "E": Outcome.ERROR,
     "F": Outcome.FULL,
     "T": Outcome.TIMEOUT,
@@ -110,9 +110,9 @@
             return ["forward", self.name, request, executor, d.ms / 1e3]
         if d.verb is Verb.WITHDRAW:
             return ["dropAttempt", self.name, request, d.number]
-        if d.verb is Verb.NACK:
+        if d.verb is Verb.REJECT:
             return ["bounce", self.name, request, d.ms / 1e3]
-        if d.verb is Verb.BREAK_OFF:
+        if d.verb is Verb.FAIL:
             return ["respondError", self.name, request]
         if d.verb is Verb.ORDER:
             return ["startCopy", self.name, executor, d.number, function]
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -27,11 +27,11 @@
 STAGES = {"ready": Stage.READY, "draining": Stage.DRAINING, "gone": Stage.GONE}
 FAILURES_BOUND = 50  # decisions that may fail in one turn before all that is owed is broken off
 AGAIN_MS = 100.0  # and then the decisions are asked again
-FULFILLED, NACKED, BROKEN_OFF = "fulfilled", "nacked", "broken off"
+SUCCEEDED, REJECTED, FAILED = "fulfilled", "nacked", "broken off"
 
 
 class Answer(NamedTuple):
-    """The one final answer of a request; `retry_ms` goes with a nack, 0 for none."""
+    """The one final answer of a request; `retry_ms` goes with a reject, 0 for none."""
 
     kind: str
     retry_ms: float = 0.0
@@ -84,7 +84,7 @@
         self._given_up = given_up
 
     def give_up(self) -> None:
-        """Ask for the final answer now, whatever is out: nacked if a repeat does no harm, else broken off."""
+        """Ask for the final answer now, whatever is out: rejected if a repeat does no harm, else broken off."""
         self._given_up()
 
 
@@ -315,9 +315,9 @@
         if out.timer is not None:
             out.timer.cancel()
         self.counts[outcome.label] += 1
-        if outcome is Outcome.FULFILLED:
+        if outcome is Outcome.SUCCEEDED:
             self._answer(
-                t, Answer(FULFILLED, 0.0, content_type, body, self.executors.wire[executor], Warmth(warmth))
+                t, Answer(SUCCEEDED, 0.0, content_type, body, self.executors.wire[executor], Warmth(warmth))
             )
         now = self.now()
         if self.watch is not None:
@@ -450,7 +450,7 @@
             exc_info=error,
         )
         if t is not None:
-            self._answer(t, Answer(BROKEN_OFF))
+            self._answer(t, Answer(FAILED))
             for number in sorted(t.out):
                 self._withdraw(t, number)
         if failures < FAILURES_BOUND:
@@ -458,7 +458,7 @@
         self.log.critical("decisions fail again and again: all that is owed is broken off", failures=failures)
         for t in list(self.taken.values()):
             if t.answer is not None:
-                self._answer(t, Answer(BROKEN_OFF))
+                self._answer(t, Answer(FAILED))
                 self.front_end.client_gone(self.now(), t.index)
         return False
 
@@ -473,10 +473,10 @@
             self._send(self.taken[d.request], d.executor, d.ms, now)
         elif verb is Verb.WAKE:
             self._wake_at(d.ms, now)
-        elif verb is Verb.NACK:
-            self._answer(self.taken[d.request], Answer(NACKED, d.ms))
-        elif verb is Verb.BREAK_OFF:
-            self._answer(self.taken[d.request], Answer(BROKEN_OFF))
+        elif verb is Verb.REJECT:
+            self._answer(self.taken[d.request], Answer(REJECTED, d.ms))
+        elif verb is Verb.FAIL:
+            self._answer(self.taken[d.request], Answer(FAILED))
         elif verb is Verb.WITHDRAW:
             self._withdraw(self.taken[d.request], d.number)
         elif verb is Verb.ORDER:
@@ -574,15 +574,15 @@
         self.idle = self.idle or defer.Deferred()
         return self.idle
 
-    def break_off_all(self) -> None:
+    def fail_all(self) -> None:
         """What is owed past every outer limit gets its answer now."""
         for t in list(self.taken.values()):
             if t.answer is not None:
-                self._answer(t, Answer(BROKEN_OFF))
+                self._answer(t, Answer(FAILED))
 
     def close(self) -> None:
         """Withdraw what is out, leave all executors."""
-        self.break_off_all()
+        self.fail_all()
         for call in (self.turn, self.wake, *(order[3] for order in self.orders.values())):
             if call is not None and call.active():
                 call.cancel()
--- a/petrelway/front/intake.py
+++ b/petrelway/front/intake.py
@@ -1,6 +1,6 @@
 """The intake: a request as an HTTP POST, its one final answer as the response. The only part clients see.
 
-Fulfilled is 200 with the executor's answer; nacked 503 with Retry-After; broken off 502. The header
+Succeeded is 200 with the executor's answer; rejected 503 with Retry-After; broken off 502. The header
 `petrelway-outcome` says which, `petrelway-retry-ms` the exact retry time. What can't be taken is 400, 413,
 415 or 422 with a problem document (RFC 9457), and nothing has been taken then.
 """
@@ -17,15 +17,15 @@
 
 from ..events.single import EventFault, read
 from .ask import Ask, Asks
-from .host import BROKEN_OFF, FULFILLED, NACKED, Answer
+from .host import FAILED, SUCCEEDED, REJECTED, Answer
 
 BODY_BOUND = 1 << 18  # bytes of a request's body
-OPEN_BOUND = 20_000  # requests without a final answer; past it a request is nacked and not taken
+OPEN_BOUND = 20_000  # requests without a final answer; past it a request is rejected and not taken
 CONNECTIONS_BOUND = 4_000  # clients' connections; past it one is closed at once
 BUSY_RETRY_MS = 250.0  # the retry time of what was not taken for want of room
 LEAVING_RETRY_MS = 1000.0  # and of what came while this front end leaves
 IDLE_S = 60  # a connection that asks nothing for so long is closed
-STATUS = {FULFILLED: 200, NACKED: 503, BROKEN_OFF: 502}
+STATUS = {SUCCEEDED: 200, REJECTED: 503, FAILED: 502}
 
 
 class BoundedRequest(server.Request):
@@ -146,14 +146,14 @@
             return self._refuse(request, 405, "method", request.method.decode("latin-1"), "POST")
         if intake.leaving:
             request.setHeader(b"connection", b"close")
-            return self._nack_untaken(request, LEAVING_RETRY_MS)
+            return self._reject_untaken(request, LEAVING_RETRY_MS)
         if intake.owed() >= intake.open_bound:
-            return self._nack_untaken(request, BUSY_RETRY_MS)
+            return self._reject_untaken(request, BUSY_RETRY_MS)
         if (retry_ms := intake.terms()) > 0.0:
-            return self._nack_untaken(request, retry_ms)
+            return self._reject_untaken(request, retry_ms)
         # danger: past its bounds the process would spend on reading events the time that it lacks
         if (retry_ms := intake.shut()) > 0.0:
-            return self._nack_untaken(request, retry_ms)
+            return self._reject_untaken(request, retry_ms)
         headers = {}
         for name, values in request.requestHeaders.getAllRawHeaders():
             headers[name.decode("latin-1").lower()] = values[0].decode("latin-1")
@@ -164,7 +164,7 @@
             return self._refuse(request, fault.status, fault.where, fault.found, fault.allowed)
         retry_ms = intake.guard(ask)
         if retry_ms > 0.0:
-            return self._nack_untaken(request, retry_ms)
+            return self._reject_untaken(request, retry_ms)
         answer = intake.take(ask, event.content_type, event.data)
         gone = request.notifyFinish()
         gone.addErrback(lambda _: answer.cancel())
@@ -177,7 +177,7 @@
         request.setResponseCode(STATUS[answer.kind])
         head = request.responseHeaders
         head.setRawHeaders(b"petrelway-outcome", [answer.kind.encode()])
-        if answer.kind == FULFILLED:
+        if answer.kind == SUCCEEDED:
             head.setRawHeaders(
                 b"content-type", [(answer.content_type or "application/octet-stream").encode()]
             )
@@ -186,9 +186,9 @@
             body = answer.body
         else:
             head.setRawHeaders(b"content-type", [b"application/problem+json"])
-            if answer.kind == NACKED:
+            if answer.kind == REJECTED:
                 _retry(request, answer.retry_ms)
-            body = _NACKED if answer.kind == NACKED else _BROKEN_OFF
+            body = _REJECTED if answer.kind == REJECTED else _FAILED
         head.setRawHeaders(b"content-length", [b"%d" % len(body)])
         request.write(body)
         request.finish()
@@ -198,16 +198,16 @@
             return  # the client is gone
         self.intake.logger.error("answer failed", error=failure.getErrorMessage())
         if not request._disconnected:
-            self._answered(Answer(BROKEN_OFF), request)
+            self._answered(Answer(FAILED), request)
 
-    def _nack_untaken(self, request: server.Request, retry_ms: float) -> bytes:
+    def _reject_untaken(self, request: server.Request, retry_ms: float) -> bytes:
         self.intake.refused(503)
         request.setResponseCode(503)
-        request.setHeader(b"petrelway-outcome", NACKED.encode())
+        request.setHeader(b"petrelway-outcome", REJECTED.encode())
         request.setHeader(b"petrelway-taken", b"no")
         request.setHeader(b"content-type", b"application/problem+json")
         _retry(request, retry_ms)
-        return _NACKED
+        return _REJECTED
 
     def _refuse(self, request: server.Request, status: int, where: str, found: str, allowed: str) -> bytes:
         self.intake.refused(status)
@@ -235,9 +235,9 @@
     ).encode()
 
 
-_NACKED = json.dumps(
+_REJECTED = json.dumps(
     {"type": "about:blank", "title": "nacked: trying again does no harm", "status": 503}
 ).encode()
-_BROKEN_OFF = json.dumps(
+_FAILED = json.dumps(
     {"type": "about:blank", "title": "broken off: the trigger may have run", "status": 502}
 ).encode()
--- a/petrelway/front/links.py
+++ b/petrelway/front/links.py
@@ -273,7 +273,7 @@
 
     def probed(self, id: int, load: codec.Load) -> None:
         if self.orders.pop(id, None) is Question.PROBE:
-            self.listener.probe_answered(self.executor, id, Outcome.FULFILLED, load)
+            self.listener.probe_answered(self.executor, id, Outcome.SUCCEEDED, load)
 
     def faulted(self, detail: str) -> None:
         self.reason, self.detail = EndReason.UNREADABLE, detail
--- a/petrelway/front/service.py
+++ b/petrelway/front/service.py
@@ -223,7 +223,7 @@
         super().stopService()
         owed = self.host.owed
         self.log.info("front end leaves", owed=owed)
-        self.intake.leaving = True  # connections that are kept open get nacks
+        self.intake.leaving = True  # connections that are kept open get rejects
         yield defer.maybeDeferred(self.port.stopListening)
         if self.policy is not None:
             self.policy.leaving()
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -37,7 +37,7 @@
 class Outcome(IntEnum):
     """How a attempt, an order to load or a probe ended."""
 
-    FULFILLED = 0
+    SUCCEEDED = 0
     ERROR = 1
     FULL = 2
     TIMEOUT = 3
@@ -54,7 +54,7 @@
 
 
 OUTCOME_LABELS = {
-    Outcome.FULFILLED: "fulfilled",
+    Outcome.SUCCEEDED: "fulfilled",
     Outcome.ERROR: "error",
     Outcome.FULL: "full",
     Outcome.TIMEOUT: "timeout",
@@ -97,8 +97,8 @@
 
     SEND = "send"
     WITHDRAW = "withdraw"
-    NACK = "nack"
-    BREAK_OFF = "break off"
+    REJECT = "nack"
+    FAIL = "break off"
     ORDER = "order to load"
     UNLOAD = "unload"
     PROBE = "probe"
@@ -110,7 +110,7 @@
     """One thing to do; the fields that the verb does not need stay at their defaults.
 
     `number` is the attempt to withdraw or the copies ordered; `ms` the retry time of a
-    nack, the time-out of a send (0: none) or the clock time of a wake.
+    reject, the time-out of a send (0: none) or the clock time of a wake.
     """
 
     verb: Verb
--- a/petrelway/node/door.py
+++ b/petrelway/node/door.py
@@ -12,7 +12,7 @@
 from twisted.internet import defer, interfaces, protocol
 from twisted.python.failure import Failure
 
-from ..front.host import FULFILLED, NACKED, Answer, PendingAnswer
+from ..front.host import SUCCEEDED, REJECTED, Answer, PendingAnswer
 from ..obligations.client_connection import OPEN_BOUND, ClientConnection, CloseReason, Phase
 from ..platform import lines
 from ..platform.lines import LineFault
@@ -147,7 +147,7 @@
         retry_ms = door.retry_ms if unread else door.refuse(tenant)
         if retry_ms is not None:
             door.counts["nacked untaken"] += 1
-            self.transport.write(lines.nacked(number, retry_ms))
+            self.transport.write(lines.rejected(number, retry_ms))
             return
         answer = door.take(passed, request_class, tenant, remaining_ms, work_ms, memory_mb, lanes, load_ms)
         self.state.taken(number, passed.call)
@@ -177,12 +177,12 @@
         self._ended(number)
         if self.state.phase is Phase.CLOSED:
             return
-        if answer.kind == FULFILLED:
-            self.transport.write(lines.fulfilled(number, answer.body))
-        elif answer.kind == NACKED:
-            self.transport.write(lines.nacked(number, answer.retry_ms))
+        if answer.kind == SUCCEEDED:
+            self.transport.write(lines.succeeded(number, answer.body))
+        elif answer.kind == REJECTED:
+            self.transport.write(lines.rejected(number, answer.retry_ms))
         else:
-            self.transport.write(lines.broken_off(number))
+            self.transport.write(lines.failed(number))
         self._close_if_settled()
         self.leave()
 
@@ -190,7 +190,7 @@
         self._ended(number)
         if not failure.check(defer.CancelledError) and self.state.phase is not Phase.CLOSED:
             self.door.log.error("answer failed", error=failure.getErrorMessage())
-            self.transport.write(lines.broken_off(number))
+            self.transport.write(lines.failed(number))
         self._close_if_settled()
         self.leave()
 
@@ -268,7 +268,7 @@
         connections_bound: int,
         retry_ms: float = 0.0,
     ) -> None:
-        """`refuse`: None to take a tenant's request, else the retry time of the nack it gets at once;
+        """`refuse`: None to take a tenant's request, else the retry time of the reject it gets at once;
         `retry_ms`: that of a client that reads no answers."""
         self.asks, self.take, self.refuse, self.serving = asks, take, refuse, serving
         self.clock, self.log, self.connections_bound = clock, log, connections_bound
--- a/petrelway/node/links.py
+++ b/petrelway/node/links.py
@@ -139,7 +139,7 @@
 
     def probed(self, id: bytes, well: bool) -> None:
         if (asked := self.asked.pop(id, None)) is not None:
-            outcome = Outcome.FULFILLED if well else Outcome.ERROR
+            outcome = Outcome.SUCCEEDED if well else Outcome.ERROR
             self.link.listener.probe_answered(self.link.executor, asked[0], outcome, NO_LOAD)
 
     # -- the link's side
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -290,7 +290,7 @@
         longest_ms = max(t.outer_ms for t in self.told.terms.request_classes) + LEAVE_SLACK_MS
         if not (yield self._in_time(host.nothing_owed(), longest_ms)):
             self.log.error("answers owed past every outer limit", owed=host.owed)
-            host.break_off_all()
+            host.fail_all()
         # danger: what still lies in a transport when the process ends never reaches its client
         if not (yield self._in_time(self.door.all_gone(), FLUSH_MS)):
             self.log.error("connections stay past their last answer", open=len(self.door.callers))
@@ -311,7 +311,7 @@
             "door": dict(sorted(self.door.counts.items())),
             "listener": dict(sorted(getattr(self.port, "counts", {}).items())),
             "links": dict(sorted(self.room.counts.items())),
-            "shed": dict(sorted(self.shedder.nacked.items())),
+            "shed": dict(sorted(self.shedder.rejected.items())),
             "libraries": dict(sorted(self.library_errors.items())),
             "configurations": dict(sorted(self.counts.items())),
             "members": self.fleet.figures() if self.fleet is not None else {},
--- a/petrelway/platform/frames.py
+++ b/petrelway/platform/frames.py
@@ -21,7 +21,7 @@
 BODY_BOUND = 1 << 18  # and of its body; checked before anything is collected
 SEND, WITHDRAW, PROBE, ORDER, UNLOAD = 10, 11, 12, 14, 16
 OUTCOMES = {
-    100: Outcome.FULFILLED,
+    100: Outcome.SUCCEEDED,
     102: Outcome.MISS,
     103: Outcome.FULL,
     104: Outcome.ERROR,
--- a/petrelway/platform/lines.py
+++ b/petrelway/platform/lines.py
@@ -25,7 +25,7 @@
 AMOUNT_BOUND = 1e9  # and a further figure
 LANES_BOUND = 10_000
 NOT_JSON, NOT_A_REQUEST, NO_METHOD, BAD_PARAMS = -32700, -32600, -32601, -32602
-NACKED, BROKEN_OFF = -32014, -32010
+REJECTED, FAILED = -32014, -32010
 HEX16 = re.compile(r"[0-9a-f]{16}").fullmatch
 HEX32 = re.compile(r"[0-9a-f]{32}").fullmatch
 
@@ -224,26 +224,26 @@
     return found.get("memory_mb", 0.0), int(lanes), found.get("load_ms", 0.0)
 
 
-def fulfilled(number: int, body: bytes) -> bytes:
+def succeeded(number: int, body: bytes) -> bytes:
     """
-    >>> fulfilled(7, b"ok")
+    >>> succeeded(7, b"ok")
     b'{"jsonrpc":"2.0","id":7,"result":{"bytes":"b2s="}}\\n'
     """
     return b'{"jsonrpc":"2.0","id":%d,"result":{"bytes":"%b"}}\n' % (number, b2a_base64(body, newline=False))
 
 
-def nacked(number: int, retry_ms: float) -> bytes:
+def rejected(number: int, retry_ms: float) -> bytes:
     """`retry_ms` 0: no time to come back is given.
 
-    >>> nacked(7, 200.4)
-    b'{"jsonrpc":"2.0","id":7,"error":{"code":-32014,"message":"nacked","data":{"pushback":201}}}\\n'
+    >>> rejected(7, 200.4)
+    b'{"jsonrpc":"2.0","id":7,"error":{"code":-32014,"message":"rejected","data":{"pushback":201}}}\\n'
     """
     data = b',"data":{"pushback":%d}' % math.ceil(retry_ms) if retry_ms > 0.0 else b""
-    return b'{"jsonrpc":"2.0","id":%d,"error":{"code":%d,"message":"nacked"%b}}\n' % (number, NACKED, data)
+    return b'{"jsonrpc":"2.0","id":%d,"error":{"code":%d,"message":"nacked"%b}}\n' % (number, REJECTED, data)
 
 
-def broken_off(number: int) -> bytes:
-    return b'{"jsonrpc":"2.0","id":%d,"error":{"code":%d,"message":"broken off"}}\n' % (number, BROKEN_OFF)
+def failed(number: int) -> bytes:
+    return b'{"jsonrpc":"2.0","id":%d,"error":{"code":%d,"message":"broken off"}}\n' % (number, FAILED)
 
 
 def faulted(fault: LineFault) -> bytes:
--- a/petrelway/rehearsal/baselines.py
+++ b/petrelway/rehearsal/baselines.py
@@ -58,7 +58,7 @@
         *_: object,
     ) -> None:
         if not self.executors:
-            self.todo.append(Decision(Verb.NACK, request))
+            self.todo.append(Decision(Verb.REJECT, request))
             self.done.requests.append(request)
             return
         self.turn = (self.turn + 1) % len(self.executors)
@@ -75,7 +75,7 @@
         *_: object,
     ) -> None:
         if not finished:
-            self.todo.append(Decision(Verb.BREAK_OFF, request))
+            self.todo.append(Decision(Verb.FAIL, request))
         self.done.requests.append(request)
 
     def order_answered(self, *_: object) -> None:
--- a/petrelway/rules/checker.py
+++ b/petrelway/rules/checker.py
@@ -211,7 +211,7 @@
 
 
 def _effects(book: Book, told: Figures) -> Iterable[Fault]:
-    """Rule 2: no effect twice, and no nack that promises too much."""
+    """Rule 2: no effect twice, and no reject that promises too much."""
     for request, some in book.received.items():
         request_class = told.request_classes[some[0]["f"]]
         if request_class.effect == "harmless":
--- a/petrelway/settings/days.py
+++ b/petrelway/settings/days.py
@@ -122,7 +122,7 @@
     retries: Count = 1
     backoff_ms: Ms = 50.0
     try_share: Annotated[float, Meta(gt=0, le=1)] = 1.0
-    honour: Share = 1.0  # clients that stay away as a nack says
+    honour: Share = 1.0  # clients that stay away as a reject says
     impatient: Share = 0.0
     clients: Annotated[int, Meta(ge=1, le=16)] = 1  # processes
 
--- a/petrelway/standin/machine.py
+++ b/petrelway/standin/machine.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-FULFILLED, ERROR, FULL, MISS = 0, 1, 2, 8
+SUCCEEDED, ERROR, FULL, MISS = 0, 1, 2, 8
 FOUND, BEGAN, AWAITED, LOAD_FAILED = 1, 2, 3, 4
 SWEEP_MS = 500.0
 MARKS_BOUND = 100_000
@@ -56,7 +56,7 @@
 
 
 class Marks:
-    """Marks that a group of executors has fulfilled: a repeat is answered without running."""
+    """Marks that a group of executors has succeeded: a repeat is answered without running."""
 
     def __init__(self, window_ms: float) -> None:
         self.window_ms = window_ms
@@ -162,7 +162,7 @@
             return
         if work.stamped and self.marks.seen(work.mark, now):
             self.note("dropped repeat", work)
-            self.say_ended(work, FULFILLED, FOUND, 0)
+            self.say_ended(work, SUCCEEDED, FOUND, 0)
             return
         if self.waits >= self.queue:
             self.say_ended(work, FULL, 0, 0)
@@ -200,7 +200,7 @@
         for copy in stand:
             copy.idle_ms = self.now()
         if copies <= len(stand):
-            self.say_stood(front, id, FULFILLED, len(stand))
+            self.say_stood(front, id, SUCCEEDED, len(stand))
             return
         for _ in range(copies - len(stand) - len(loading)):
             if not self._want_load(function, memory_mb, lanes, True):
@@ -355,8 +355,8 @@
             return
         copy = job.copy
         self._leave(job, copy)
-        outcome = ERROR if self.chance.random() < self.errors else FULFILLED
-        if outcome == FULFILLED and job.work.stamped:
+        outcome = ERROR if self.chance.random() < self.errors else SUCCEEDED
+        if outcome == SUCCEEDED and job.work.stamped:
             self.marks.add(job.work.mark, self.now())
         self._say(job.work, outcome, job.warmth, job.crowd)
         self._settle(copy)
@@ -470,7 +470,7 @@
         count = len(self.copies[loading.function])
         waiting = self.orders.get(loading.function, [])
         for front, id, _ in [o for o in waiting if o[2] <= count]:
-            self.say_stood(front, id, FULFILLED, count)
+            self.say_stood(front, id, SUCCEEDED, count)
         waiting[:] = [o for o in waiting if o[2] > count]
         if not waiting:
             self.orders.pop(loading.function, None)
--- a/petrelway/wire/codec.py
+++ b/petrelway/wire/codec.py
@@ -279,7 +279,7 @@
 
 
 # danger: an executor that could say UNREACHABLE or UNSENT would have a one-shot request run twice
-SAYABLE = frozenset((0, 1, 2, 6, 8))  # FULFILLED, ERROR, FULL, WITHDRAWN, MISS of interface.Outcome
+SAYABLE = frozenset((0, 1, 2, 6, 8))  # SUCCEEDED, ERROR, FULL, WITHDRAWN, MISS of interface.Outcome
 
 
 def _parse(message: pb.FromFront | pb.FromExecutor, payload: bytes):
--- a/petrelway/worker/desk.py
+++ b/petrelway/worker/desk.py
@@ -19,7 +19,7 @@
 from .loading import Load, Loads
 from .repeats import Repeats
 
-FULFILLED, ERROR, FULL, MISS = 0, 1, 2, 8
+SUCCEEDED, ERROR, FULL, MISS = 0, 1, 2, 8
 UNTOLD, FOUND, BEGAN, AWAITED, LOAD_FAILED = 0, 1, 2, 3, 4
 TIDY_MS = 500.0
 UNHEARD_LOAD_MS = 1000.0
@@ -164,7 +164,7 @@
             what, answer = self.repeats.came(mark, ask, now, stamped_ms)
             if what == "done":
                 self.counts["repeat answered"] += 1
-                self._say(ask, FULFILLED, FOUND, answer)
+                self._say(ask, SUCCEEDED, FOUND, answer)
                 return
             if what == "wait":
                 self.counts["repeat attached"] += 1
@@ -209,7 +209,7 @@
             if not copy.calls:
                 self._idle(copy, now)
         if copies <= len(stand):
-            self._stood(front, id, FULFILLED, len(stand))
+            self._stood(front, id, SUCCEEDED, len(stand))
         elif self.draining:
             self._stood(front, id, FULL, len(stand))
         elif now < self.loads.barred_until(function):
@@ -287,7 +287,7 @@
         self.in_work -= 1
         if not c.calls:
             self._idle(c, now)
-        self._done(ask, FULFILLED if good else ERROR, body, now)
+        self._done(ask, SUCCEEDED if good else ERROR, body, now)
         if c.void and not c.calls:
             self._end(c, "released anew")
         self.look = True
@@ -432,15 +432,15 @@
         """A call is over: the request hears, and those that attached to it."""
         if not ask.over:
             self._leave(ask)
-            self._say(ask, outcome, ask.warmth, body if outcome == FULFILLED else b"")
+            self._say(ask, outcome, ask.warmth, body if outcome == SUCCEEDED else b"")
         if ask.stamped_ms > 0.0:
-            for other in self.repeats.ended(ask.mark, outcome == FULFILLED, body, now):
+            for other in self.repeats.ended(ask.mark, outcome == SUCCEEDED, body, now):
                 self._leave(other)
                 self._say(
                     other,
                     outcome,
-                    FOUND if outcome == FULFILLED else UNTOLD,
-                    body if outcome == FULFILLED else b"",
+                    FOUND if outcome == SUCCEEDED else UNTOLD,
+                    body if outcome == SUCCEEDED else b"",
                 )
 
     def _give_up(self, ask: Ask, now: float) -> None:
@@ -580,7 +580,7 @@
         stand = len(self._copies(function))
         waiting = self.orders.get(function, [])
         for front, id, _, _ in [o for o in waiting if o[2] <= stand]:
-            self._stood(front, id, FULFILLED, stand)
+            self._stood(front, id, SUCCEEDED, stand)
         waiting[:] = [o for o in waiting if o[2] > stand]
         if not waiting:
             self.orders.pop(function, None)
--- a/tests/compatibility/forms_drill.py
+++ b/tests/compatibility/forms_drill.py
@@ -21,8 +21,8 @@
 DECISIONS = {
     "send": Decision(Verb.SEND, 0, 0, 0, 1, 1500.0),
     "withdraw": Decision(Verb.WITHDRAW, 0, 0, 0, 1),
-    "nack": Decision(Verb.NACK, 0, ms=250.0),
-    "break-off": Decision(Verb.BREAK_OFF, 0),
+    "nack": Decision(Verb.REJECT, 0, ms=250.0),
+    "break-off": Decision(Verb.FAIL, 0),
     "order": Decision(Verb.ORDER, -1, 0, 0, 2),
     "unload": Decision(Verb.UNLOAD, -1, 0, 0),
     "probe": Decision(Verb.PROBE, -1, 0),
--- a/tests/compatibility/forms_intake.py
+++ b/tests/compatibility/forms_intake.py
@@ -9,7 +9,7 @@
 from wire_form_cases import Recorder, plain
 
 from petrelway.front.ask import Ask, Asks, Catalogue
-from petrelway.front.host import BROKEN_OFF, FULFILLED, NACKED, Answer, Function
+from petrelway.front.host import FAILED, SUCCEEDED, REJECTED, Answer, Function
 from petrelway.front.intake import Intake
 from petrelway.interface import Warmth
 
@@ -55,13 +55,13 @@
     """The response to each final answer, and to what is not taken."""
     answers = {
         **{
-            f"fulfilled.warmth-{int(warmth)}": Answer(FULFILLED, 0.0, "text/plain", b"ok", "e1", warmth)
+            f"fulfilled.warmth-{int(warmth)}": Answer(SUCCEEDED, 0.0, "text/plain", b"ok", "e1", warmth)
             for warmth in Warmth
         },
-        "fulfilled.no-type": Answer(FULFILLED, 0.0, "", b"", "e1"),
-        "nacked": Answer(NACKED),
-        "nacked.retry": Answer(NACKED, 1230.4),
-        "broken-off": Answer(BROKEN_OFF),
+        "fulfilled.no-type": Answer(SUCCEEDED, 0.0, "", b"", "e1"),
+        "nacked": Answer(REJECTED),
+        "nacked.retry": Answer(REJECTED, 1230.4),
+        "broken-off": Answer(FAILED),
     }
     return {f"response.{name}": _answered(answer) for name, answer in answers.items()} | _untaken()
 
--- a/tests/compatibility/forms_platform.py
+++ b/tests/compatibility/forms_platform.py
@@ -47,10 +47,10 @@
 
 def _line_answers() -> dict[str, bytes]:
     return {
-        "fulfilled": lines.fulfilled(7, b"\x00\xff"),
-        "nacked": lines.nacked(7, 0.0),
-        "nacked.retry": lines.nacked(7, 199.2),
-        "broken-off": lines.broken_off(7),
+        "fulfilled": lines.succeeded(7, b"\x00\xff"),
+        "nacked": lines.rejected(7, 0.0),
+        "nacked.retry": lines.rejected(7, 199.2),
+        "broken-off": lines.failed(7),
         "serving": lines.serving(3, True),
         "not-serving": lines.serving(3, False),
     }
--- a/tests/compatibility/write_records.py
+++ b/tests/compatibility/write_records.py
@@ -26,7 +26,7 @@
 def break_a_rule() -> dict[str, object]:
     """One line of the recorded day, changed so that a rule is broken: which line, and how it reads then.
 
-    The fulfilled answer to a one-shot request is made a nack, though its attempt ran.
+    The succeeded answer to a one-shot request is made a reject, though its attempt ran.
     """
     path = DAY / "emulated.jsonl"
     lines = [json.loads(text) for text in path.read_text(encoding="utf-8").splitlines()]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -72,7 +72,7 @@
         return self.serial
 
     def end(self, request, outcome, number=0, executor=0, took=100.0, warmth=Warmth.FOUND, finished=None):
-        done = outcome is Outcome.FULFILLED if finished is None else finished
+        done = outcome is Outcome.SUCCEEDED if finished is None else finished
         self.fe.attempt_ended(self.now, request, number, outcome, took, done, warmth)
 
     def pull(self, forward=0.0) -> list[Decision]:
@@ -94,12 +94,12 @@
         self.lists(stages, started={i: e.listing.started_ms for i, e in self.fe.executors.items()})
 
     def teach(self, executor, function=0, times=1):
-        """Fulfilled answers from one executor, whatever the choice would have been."""
+        """Succeeded answers from one executor, whatever the choice would have been."""
         self.only(executor)
         for _ in range(times):
             t = self.take(function)
             assert [d.executor for d in self.pull() if d.verb is Verb.SEND] == [executor]
-            self.end(t, Outcome.FULFILLED, executor=executor)
+            self.end(t, Outcome.SUCCEEDED, executor=executor)
             self.pull()
         self.only(None)
 
--- a/tests/test_alike.py
+++ b/tests/test_alike.py
@@ -15,7 +15,7 @@
 from petrelway.worker.desk import Desk
 from petrelway.worker.serving import FrontLink, Worker
 
-FULFILLED, ERROR, FULL, MISS = 0, 1, 2, 8
+SUCCEEDED, ERROR, FULL, MISS = 0, 1, 2, 8
 FOUND, BEGAN, AWAITED, LOAD_FAILED = 1, 2, 3, 4
 LOAD_S, WORK_S = 0.5, 0.1
 
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -184,7 +184,7 @@
 
 
 def test_the_order_of_what_is_given_up():
-    # pressure, step; is a first try in its share, a repeat, one over its share nacked
+    # pressure, step; is a first try in its share, a repeat, one over its share rejected
     table = [
         (0.0, Step.ALL_WELL, False, False, False),
         (0.85, Step.SLOW_PAGES, False, False, False),
@@ -239,7 +239,7 @@
     waits = {round(s.ask(0.0, 0, False), 3) for _ in range(50)}
     assert len(waits) > 40 and all(400.0 < w < 1200.0 for w in waits)
     press(s, 1e6)
-    assert s.ask(0.0, 0, False) == 5000.0 and s.nacked["all"] == 51
+    assert s.ask(0.0, 0, False) == 5000.0 and s.rejected["all"] == 51
 
 
 @pytest.mark.parametrize("portions", [[], [0.0, 0.0]])
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -86,7 +86,7 @@
 
 def test_miss_orders_once_and_waits():
     # what the order answers -> what follows
-    for outcome, copies, expected in ((Outcome.FULFILLED, 1, "SEND"), (Outcome.FULL, 0, "SEND")):
+    for outcome, copies, expected in ((Outcome.SUCCEEDED, 1, "SEND"), (Outcome.FULL, 0, "SEND")):
         host = Host(3, misses=True)
         t, u = host.take(), host.take()
         sends = host.pull()
@@ -149,7 +149,7 @@
         t = host.take()
         d = host.pull()[0]
         host.now = host.fe.wake_ms + stall
-        host.end(t, Outcome.FULFILLED, executor=d.executor, took=host.now - START)
+        host.end(t, Outcome.SUCCEEDED, executor=d.executor, took=host.now - START)
         assert (host.fe.executors[d.executor].pace == 1.0) == bool(stall)
 
 
@@ -167,7 +167,7 @@
         assert {ask(host, tenant=tenant).listing.executor for _ in range(30)} == refused
 
 
-def test_crowded_holds_then_nacks():
+def test_crowded_holds_then_rejects():
     """Danger: in an overload all is answered late."""
     host = Host(2)
     for function in range(2):
@@ -194,9 +194,9 @@
     free = host.fe.released()
     assert free.executors == [0] and sorted(free.functions) == [0, 7] and len(free.requests) == 2
     assert not host.fe.functions and not host.fe.requests and list(host.fe.executors) == [1]
-    host.end(1, Outcome.FULFILLED)  # late, unknown: nothing happens
+    host.end(1, Outcome.SUCCEEDED)  # late, unknown: nothing happens
     host.fe.client_gone(host.now, 1)
-    host.fe.order_answered(host.now, 0, 0, Outcome.FULFILLED, 1, 1.0)
+    host.fe.order_answered(host.now, 0, 0, Outcome.SUCCEEDED, 1, 1.0)
     assert host.pull() == []
 
 
@@ -242,7 +242,7 @@
             host.now += 100.0
             t = host.take(work=0.0)
             sent = host.pull()
-            host.end(t, Outcome.FULFILLED, executor=sent[0].executor, took=took)
+            host.end(t, Outcome.SUCCEEDED, executor=sent[0].executor, took=took)
             host.pull()
         before.append(host.fe.view(host.now))
     assert before[1] < 2 * before[0] and host.fe.limit < 8.0
@@ -255,7 +255,7 @@
         for i in range(600):
             t = host.take(i % 50)
             sent = [d for d in host.pull(100.0) if d.verb is Verb.SEND]
-            host.end(t, Outcome.FULFILLED, executor=sent[0].executor)
+            host.end(t, Outcome.SUCCEEDED, executor=sent[0].executor)
         host.pull(1100.0)
         assert len(host.fe.gate.taken) <= 60 and len(host.fe.due) < 100 and not host.fe.attention
     host.pull(130_000.0)
@@ -330,7 +330,7 @@
         sends = [d for d in host.pull() if d.verb is Verb.SEND]
         host.now += 100.0
         for d in sends:
-            host.end(d.request, Outcome.FULFILLED, took=100.0)
+            host.end(d.request, Outcome.SUCCEEDED, took=100.0)
         served += len(sends)
     assert served > 0.8 * 30 * 100
 
@@ -368,7 +368,7 @@
             for t in [t for t, at in sent.items() if host.now - at >= 100.0]:
                 del sent[t]
                 late = t > 40 and t % one_in == one_in - 1
-                host.end(t, Outcome.FULFILLED, took=950.0 if late else 100.0)
+                host.end(t, Outcome.SUCCEEDED, took=950.0 if late else 100.0)
         found = "floor" if host.fe.limit < 5.0 else "open" if host.fe.limit >= 12.0 else "between"
         assert found == expected, (one_in, host.fe.limit, host.fe.late)
 
@@ -396,7 +396,7 @@
         work, took = ((5.0, 80.0), (200.0, 260.0))[turn % 2]  # 170 ms on average of a quoted time of 1000
         t = host.take(0, work=work)
         host.pull(took)
-        host.end(t, Outcome.FULFILLED, executor=0, took=took)
+        host.end(t, Outcome.SUCCEEDED, executor=0, took=took)
     mean_ms = e.pace * host.fe.mean_size
     assert 100.0 < mean_ms < 300.0, mean_ms
     assert e.limit >= 12.0, e.limit
@@ -427,15 +427,15 @@
     for turn in range(60):  # good loads: more at a time
         e, f = orders_of(host)[0]
         host.now += 100.0
-        host.fe.order_answered(host.now, e, f, Outcome.FULFILLED, 1, 500.0)
+        host.fe.order_answered(host.now, e, f, Outcome.SUCCEEDED, 1, 500.0)
         lost(host, range(20 + 3 * turn, 23 + 3 * turn))
     most = host.fe.loads
     assert most > 3.0 and len(host.fe.under_way) <= most + 1
     e, f = orders_of(host)[0]
     host.fe.functions[f].usual_load_ms = 0.0
-    host.fe.order_answered(host.now, e, f, Outcome.FULFILLED, 1, 3.0)  # a copy stood: no measure of a load
+    host.fe.order_answered(host.now, e, f, Outcome.SUCCEEDED, 1, 3.0)  # a copy stood: no measure of a load
     assert host.fe.loads == most and not host.fe.functions[f].usual_load_ms
-    for outcome, took in ((Outcome.FULFILLED, 2000.0), (Outcome.ERROR, 10.0)):
+    for outcome, took in ((Outcome.SUCCEEDED, 2000.0), (Outcome.ERROR, 10.0)):
         before = host.fe.loads
         host.now += 5000.0
         e, f = orders_of(host)[0]
@@ -460,7 +460,7 @@
             host.end(d.request, Outcome.MISS, executor=d.executor, took=2.0, warmth=Warmth.UNTOLD)
     assert host.pull() == []
     e, f = orders_of(host)[0]
-    host.fe.order_answered(host.now, e, f, Outcome.FULFILLED, 1, 500.0)
+    host.fe.order_answered(host.now, e, f, Outcome.SUCCEEDED, 1, 500.0)
     assert [d.function for d in host.pull() if d.verb is Verb.ORDER] == [7]
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -285,8 +285,8 @@
     assert [e for _, e, _ in rig.day.log.lines if e == "page failed"]
 
 
-@pytest.mark.parametrize("step, nacked", [(1.05, 0), (2.5, None)])
-def test_the_daemon_gives_up_by_itself_and_drops_nothing(step, nacked):
+@pytest.mark.parametrize("step, rejected", [(1.05, 0), (2.5, None)])
+def test_the_daemon_gives_up_by_itself_and_drops_nothing(step, rejected):
     rig = Rig()
     rig.to(2.0)
     taken = rig.daemon.host.counts["taken"]
@@ -294,9 +294,9 @@
     rig.daemon.shedder.seen = lambda *state: seen(step * 60.0, *state[1:])
     rig.to(4.0)
     refused = rig.daemon.intake.counts["refused 503"]
-    assert refused == 0 if nacked == 0 else refused > 10
-    assert (rig.daemon.host.counts["taken"] > taken) == (nacked == 0) or nacked is None
-    assert rig.json("/own")["step"] == (2 if nacked == 0 else 5)
+    assert refused == 0 if rejected == 0 else refused > 10
+    assert (rig.daemon.host.counts["taken"] > taken) == (rejected == 0) or rejected is None
+    assert rig.json("/own")["step"] == (2 if rejected == 0 else 5)
     rig.daemon.shedder.seen = seen
     lines = rig.day.play()
     assert not [x for x in lines if x["k"] in ("unanswered", "lost")]
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -150,12 +150,12 @@
 
 
 class AnyRepeat(Gate):
-    """Rule 2: all may be sent again, anywhere, and nacked."""
+    """Rule 2: all may be sent again, anywhere, and rejected."""
 
     def _repeat(self, t, at, now):
         return True
 
-    def nack(self, t):
+    def reject(self, t):
         return True
 
 
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -8,7 +8,7 @@
 from petrelway.worker.loading import BACK_OFF_MOST_MS, BACK_OFF_MS, Load, Loads
 from petrelway.worker.repeats import Repeats
 
-FULFILLED, ERROR, FULL, MISS = 0, 1, 2, 8
+SUCCEEDED, ERROR, FULL, MISS = 0, 1, 2, 8
 UNTOLD, FOUND, BEGAN, AWAITED, LOAD_FAILED = 0, 1, 2, 3, 4
 
 
@@ -210,10 +210,10 @@
     assert not any(a.do is Do.STOP_CALL for a in rig.pull())
     rig.desk.call_ended(rig.now, 1, calls[0].call, True, b"x")
     rig.pull()
-    assert [(s, o) for s, o, _ in rig.ends] == [(three, FULFILLED)] and two not in dict.fromkeys(rig.ends)
+    assert [(s, o) for s, o, _ in rig.ends] == [(three, SUCCEEDED)] and two not in dict.fromkeys(rig.ends)
     rig.take(stamped=2000.0, mark="m", front="d")
     rig.pull()
-    assert rig.ends[-1][1:] == (FULFILLED, FOUND) and rig.desk.in_work == 0
+    assert rig.ends[-1][1:] == (SUCCEEDED, FOUND) and rig.desk.in_work == 0
     rig.pull(2100.0)
     rig.take(stamped=2000.0, mark="m", front="d")
     assert [do for do, *_ in rig.does()] == [Do.CALL]  # the mark is forgotten
@@ -276,7 +276,7 @@
     rig.desk.call_ended(rig.now, 1, 1, True, b"")
     rig.desk.load_failed(rig.now, 2, "x")
     rig.pull()
-    assert (running, FULFILLED, FOUND) in rig.ends and (loading, MISS, LOAD_FAILED) in rig.ends
+    assert (running, SUCCEEDED, FOUND) in rig.ends and (loading, MISS, LOAD_FAILED) in rig.ends
     assert rig.desk.empty()
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -151,7 +151,7 @@
         rig.send()
 
     table = [
-        (served, Outcome.FULFILLED),
+        (served, Outcome.SUCCEEDED),
         (dead, Outcome.UNREACHABLE),
         (dies_under_it, Outcome.RESET),
         (cut_off_before, Outcome.UNREACHABLE),
@@ -189,7 +189,7 @@
     rig.send(2)
     assert rig.link.order(9, "model-2", 1, 300.0, 4) is None
     rig.run(4.0)
-    assert rig.ends == [(2, Outcome.FULFILLED)] and rig.orders[-1] == (9, Outcome.FULFILLED, 1)
+    assert rig.ends == [(2, Outcome.SUCCEEDED)] and rig.orders[-1] == (9, Outcome.SUCCEEDED, 1)
     assert len(rig.life.wires) >= 1 and len([w for w in rig.life.wires if w.link is rig.link]) == 1
 
 
@@ -280,8 +280,8 @@
     assert any(x["k"] == "lost" and x["fe"] == "front-1" for x in lines)
 
 
-def test_a_retry_storm_after_a_wave_of_nacks():
-    """Half the fleet is gone at twice the load: many nacks, and all clients come back at once."""
+def test_a_retry_storm_after_a_wave_of_rejects():
+    """Half the fleet is gone at twice the load: many rejects, and all clients come back at once."""
     tree = day(
         ["zone_loss", "burst"],
         seed=8,
@@ -292,9 +292,9 @@
     tree["troubles"][0].update(size=0.0, len_s=3)
     tree["troubles"][1].update(size=3, len_s=3)
     lines, _ = kept(tree)
-    nacks = [x["t"] for x in lines if x["k"] == "answer" and x["o"] == "nacked"]
+    rejects = [x["t"] for x in lines if x["k"] == "answer" and x["o"] == "nacked"]
     asks = [x for x in lines if x["k"] == "ask"]
-    assert len(nacks) > 300 and sum(x["r"] > 1 for x in asks) > 200
+    assert len(rejects) > 300 and sum(x["r"] > 1 for x in asks) > 200
     late = [x for x in lines if x["k"] == "answer" and x["t"] > 11_000 and x["r"] == 0]
     assert sum(x["o"] == "fulfilled" for x in late) > 0.9 * len(late)  # it is over when its cause is
 
--- a/tests/test_forward_clock.py
+++ b/tests/test_forward_clock.py
@@ -45,7 +45,7 @@
             if decision.verb is Verb.SEND:
                 request = host.fe.requests[decision.request]
                 out.append((decision.request, request.sent - 1, decision.executor))
-            elif decision.verb in (Verb.NACK, Verb.BREAK_OFF):
+            elif decision.verb in (Verb.REJECT, Verb.FAIL):
                 answered.setdefault(decision.request, host.real_ms)
             elif decision.verb is Verb.WITHDRAW:
                 ended = next(o for o in out if o[:2] == (decision.request, decision.number))
@@ -53,13 +53,13 @@
                 host.end(*ended[:1], Outcome.WITHDRAWN, *ended[1:])
             elif decision.verb is Verb.ORDER:
                 host.fe.order_answered(
-                    host.now, decision.executor, decision.function, Outcome.FULFILLED, 1, 100.0
+                    host.now, decision.executor, decision.function, Outcome.SUCCEEDED, 1, 100.0
                 )
         if out and draw.random() < 0.6:
             request, number, executor = out.pop(draw.randrange(len(out)))
-            outcome = draw.choice((Outcome.FULFILLED, Outcome.FULFILLED, Outcome.ERROR, Outcome.RESET))
+            outcome = draw.choice((Outcome.SUCCEEDED, Outcome.SUCCEEDED, Outcome.ERROR, Outcome.RESET))
             host.end(request, outcome, number, executor, 50.0, Warmth.FOUND)
-            if outcome is Outcome.FULFILLED:
+            if outcome is Outcome.SUCCEEDED:
                 answered.setdefault(request, host.real_ms)
         for request, at in due.items():
             assert answered.get(request, host.real_ms) <= at, request
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -115,7 +115,7 @@
     assert rig.sent() == []  # inputs of one turn first
     rig.step()
     ((executor, *_),) = rig.sent()
-    rig.end(executor, serial, Outcome.FULFILLED)
+    rig.end(executor, serial, Outcome.SUCCEEDED)
     assert rig.kinds(serial) == ["fulfilled"] and rig.answers[serial][0].body == b"done"
     assert rig.answers[serial][0].executor == f"e{executor}"
     rig.step(20.0)
@@ -124,8 +124,8 @@
 
 def test_one_answer_however_they_race():
     # what happens after the send, in order; kinds of answers
-    def fulfilled(rig, serial, e, answer):
-        rig.end(e, serial, Outcome.FULFILLED)
+    def succeeded(rig, serial, e, answer):
+        rig.end(e, serial, Outcome.SUCCEEDED)
 
     def gone(rig, serial, e, answer):
         answer.cancel()
@@ -140,15 +140,15 @@
         rig.step(5.0)
 
     table = [
-        ([fulfilled, gone], ["fulfilled"]),
-        ([gone, fulfilled], [defer.CancelledError]),
-        ([gone, step, fulfilled], [defer.CancelledError]),
-        ([fulfilled, fulfilled, broken, over], ["fulfilled"]),
+        ([succeeded, gone], ["fulfilled"]),
+        ([gone, succeeded], [defer.CancelledError]),
+        ([gone, step, succeeded], [defer.CancelledError]),
+        ([succeeded, succeeded, broken, over], ["fulfilled"]),
         ([over], ["nacked"]),
-        ([over, fulfilled, gone], ["nacked"]),
+        ([over, succeeded, gone], ["nacked"]),
         ([broken, over], ["nacked"]),
-        ([fulfilled, over], ["fulfilled"]),
-        ([gone, over, fulfilled], [defer.CancelledError]),
+        ([succeeded, over], ["fulfilled"]),
+        ([gone, over, succeeded], [defer.CancelledError]),
     ]
     for events, expected in table:
         rig = Rig(sends=1)
@@ -206,7 +206,7 @@
     rig.step()
     ((_, again, number, _),) = rig.sent()
     assert (again, number) == (serial, 1)
-    rig.end(0, serial, Outcome.FULFILLED, number)
+    rig.end(0, serial, Outcome.SUCCEEDED, number)
     assert rig.kinds(serial) == ["fulfilled"]
 
 
@@ -274,7 +274,7 @@
     assert rig.log.lines[0][1]["function"] == "sick"
     ((e, serial, *_),) = rig.sent()
     assert serial == well
-    rig.end(e, well, Outcome.FULFILLED)
+    rig.end(e, well, Outcome.SUCCEEDED)
     rig.step(20.0)
     assert rig.kinds(well) == ["fulfilled"] and rig.host.taken == {}
 
@@ -291,7 +291,7 @@
     serial, _ = rig.take()
     rig.step()
     ((e, *_),) = rig.sent()
-    rig.end(e, serial, Outcome.FULFILLED)
+    rig.end(e, serial, Outcome.SUCCEEDED)
     assert rig.kinds(serial) == ["fulfilled"]
 
 
@@ -303,7 +303,7 @@
     idle = []
     rig.host.nothing_owed().addCallback(lambda _: idle.append(True))
     assert not idle
-    rig.end(e, first, Outcome.FULFILLED)
+    rig.end(e, first, Outcome.SUCCEEDED)
     assert idle
     second, _ = rig.take()
     rig.step()
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -14,7 +14,7 @@
 from petrelway.events.single import ATTRIBUTES_BOUND, EventFault, read
 from petrelway.front.ask import Ask, Asks, Catalogue
 from petrelway.front.backoff import Backoff
-from petrelway.front.host import BROKEN_OFF, FULFILLED, NACKED, Answer, Function
+from petrelway.front.host import FAILED, SUCCEEDED, REJECTED, Answer, Function
 from petrelway.front.intake import BODY_BOUND, Intake
 from petrelway.front.roster import Follower
 from petrelway.interface import Warmth
@@ -88,10 +88,10 @@
 
 def test_answers_are_told_apart():
     table = [
-        (Answer(FULFILLED, 0.0, "text/plain", b"ok", "e1", Warmth.FOUND), 200, {"petrelway-warmth": "found"}),
-        (Answer(NACKED, 230.4), 503, {"retry-after": "1", "petrelway-retry-ms": "231"}),
-        (Answer(NACKED), 503, {"retry-after": None}),
-        (Answer(BROKEN_OFF), 502, {"retry-after": None}),
+        (Answer(SUCCEEDED, 0.0, "text/plain", b"ok", "e1", Warmth.FOUND), 200, {"petrelway-warmth": "found"}),
+        (Answer(REJECTED, 230.4), 503, {"retry-after": "1", "petrelway-retry-ms": "231"}),
+        (Answer(REJECTED), 503, {"retry-after": None}),
+        (Answer(FAILED), 502, {"retry-after": None}),
     ]
     rig = Rig()
     for answer, status, headers in table:
@@ -159,8 +159,8 @@
 
 
 def test_while_nothing_is_taken_no_event_is_read():
-    """Danger: past its bounds a process that reads each event before it nacks it has no time to serve any.
-    At twice what it carries 3 to 11% was fulfilled."""
+    """Danger: past its bounds a process that reads each event before it rejects it has no time to serve any.
+    At twice what it carries 3 to 11% was succeeded."""
     rig = Rig()
     rig.intake.shut = lambda: 230.4
     rig.intake.asks = None  # whoever reads an event fails
@@ -179,7 +179,7 @@
         assert rig.post(head | {"content-type": kind}, b"a=1&b") is None
         _, content_type, body, answer = rig.taken.pop()
         assert (content_type, body) == (kind, b"a=1&b")
-        answer.callback(Answer(FULFILLED, 0.0, "text/plain", b"ok", "e1", Warmth.FOUND))
+        answer.callback(Answer(SUCCEEDED, 0.0, "text/plain", b"ok", "e1", Warmth.FOUND))
         assert rig.response()[0] == 200
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -115,7 +115,7 @@
         (after_closing, Outcome.UNSENT),
         (broken_after_the_hand_over, Outcome.RESET),
         (garbage, Outcome.RESET),
-        (told(0), Outcome.FULFILLED),
+        (told(0), Outcome.SUCCEEDED),
         (told(1), Outcome.ERROR),
         (told(2), Outcome.FULL),
         (told(8), Outcome.MISS),
@@ -197,7 +197,7 @@
         codec.stood(2, 0, 1) + codec.stood(2, 0, 1) + codec.stood(4, 0, 1)
     )  # 4 is a probe: no answer to it
     rig.cut()
-    assert rig.ears.orders == [(2, Outcome.FULFILLED, 1), (3, Outcome.RESET, 0)]
+    assert rig.ears.orders == [(2, Outcome.SUCCEEDED, 1), (3, Outcome.RESET, 0)]
 
 
 def test_a_later_process_behind_a_half_open_link():
@@ -225,7 +225,7 @@
             elif what == 1:
                 handed.add(ledger.hand_over())
             elif what == 2 and ledger.ended(key):
-                ends.append((key, Outcome.FULFILLED))
+                ends.append((key, Outcome.SUCCEEDED))
             elif what == 3 and (end := ledger.give_up(key, Outcome.TIMEOUT)):
                 ends.append((key, end[1]))
             elif what == 4 and chance.random() < 0.2:
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -9,7 +9,7 @@
     BEGAN,
     ERROR,
     FOUND,
-    FULFILLED,
+    SUCCEEDED,
     FULL,
     LOAD_FAILED,
     MISS,
@@ -111,9 +111,9 @@
     rig.run(200)
     # fetch 100, start 50, then 100 of work on a core each
     assert rig.ends == [
-        (1, FULFILLED, BEGAN, 250),
-        (2, FULFILLED, AWAITED, 250),
-        (3, FULFILLED, FOUND, 350),
+        (1, SUCCEEDED, BEGAN, 250),
+        (2, SUCCEEDED, AWAITED, 250),
+        (3, SUCCEEDED, FOUND, 350),
     ]
     # n at once on 2 cores with 6 lanes: each ends when its share allows
     for n, expected in ((1, 100), (2, 100), (4, 200), (6, 300)):
@@ -133,7 +133,7 @@
         rig.take(lanes=1)
     assert [o for _, o, *_ in rig.ends] == [FULL] * 4  # two wait for the load
     rig.run(400)
-    assert [s for s, o, *_ in rig.ends if o == FULFILLED] == [1, 2]
+    assert [s for s, o, *_ in rig.ends if o == SUCCEEDED] == [1, 2]
     rig = Rig(memory_mb=700.0)
     rig.take("f"), rig.take("g")
     rig.run(300)
@@ -163,10 +163,10 @@
     assert [o for _, o, *_ in rig.ends] == [MISS]
     rig.m.order("front", 1, "f", 2, 300.0, 2)
     rig.m.order("front", 2, "f", 0, 300.0, 2)  # only asks
-    assert rig.stood == [(2, FULFILLED, 0)]
+    assert rig.stood == [(2, SUCCEEDED, 0)]
     rig.take()  # waits for the load
     rig.run(300)
-    assert rig.stood[1:] == [(1, FULFILLED, 2)] and rig.ends[-1][1:3] == (FULFILLED, AWAITED)
+    assert rig.stood[1:] == [(1, SUCCEEDED, 2)] and rig.ends[-1][1:3] == (SUCCEEDED, AWAITED)
     rig.m.unload("f")
     assert rig.m.copies == {}
     for id in range(3, 12):
--- a/tests/test_node_links.py
+++ b/tests/test_node_links.py
@@ -83,7 +83,7 @@
 
 def test_each_answer_proves_what_it_says():
     table = [
-        (100, Outcome.FULFILLED),
+        (100, Outcome.SUCCEEDED),
         (102, Outcome.MISS),
         (103, Outcome.FULL),
         (104, Outcome.ERROR),
@@ -181,7 +181,7 @@
     wire.dataReceived(answer(102, call(5)))
     assert rig.ended() == [] and rig.room.counts["late answers"] == 1
     other.dataReceived(answer(100, call(5)))
-    assert rig.ended() == [((5, 1), Outcome.FULFILLED)]
+    assert rig.ended() == [((5, 1), Outcome.SUCCEEDED)]
 
 
 def test_second_copies_and_unknown_ids_are_dropped_and_counted():
@@ -189,11 +189,11 @@
     wire, _ = rig.up()
     rig.send(1)
     wire.dataReceived(answer(100, call(9)) + answer(100, call(1)) + answer(100, call(1)))
-    assert rig.ended() == [((1, 0), Outcome.FULFILLED)]
+    assert rig.ended() == [((1, 0), Outcome.SUCCEEDED)]
     assert rig.room.counts["answers to no question"] == 2
     rig.send(2)  # the connection is still good
     wire.dataReceived(answer(100, call(2)))
-    assert rig.ended() == [((2, 0), Outcome.FULFILLED)]
+    assert rig.ended() == [((2, 0), Outcome.SUCCEEDED)]
 
 
 def test_half_an_answer_ends_its_connection_but_not_after_an_own_stall():
@@ -204,7 +204,7 @@
     wire.dataReceived(whole[:30])
     rig.clock.advance(links.HALF_MS / 1e3)  # this process stood still: the rest lies unread
     wire.dataReceived(whole[30:])
-    assert rig.ended() == [((1, 0), Outcome.FULFILLED)]
+    assert rig.ended() == [((1, 0), Outcome.SUCCEEDED)]
     rig.send(2)
     wire.dataReceived(answer(100, call(2))[:17])
     rig.step(links.HALF_MS + 50)
@@ -251,7 +251,7 @@
     assert not pipe.closed
 
 
-def test_one_that_takes_no_byte_is_broken_off():
+def test_one_that_takes_no_byte_is_failed():
     rig = Rig()
     wire, pipe = rig.up()
     rig.send(1)
@@ -271,7 +271,7 @@
     rig.send(1, id=own)  # a request whose id meets the order's open id goes elsewhere
     assert pipe.take() == b""
     wire.dataReceived(answer(100, own, b"count=2"))
-    assert rig.ears.orders == [(7, Outcome.FULFILLED, 2)] and rig.ended() == []
+    assert rig.ears.orders == [(7, Outcome.SUCCEEDED, 2)] and rig.ended() == []
 
 
 def test_orders_end_once_however():
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -82,7 +82,7 @@
         return found
 
     def serve(self):
-        """Executors answer all at once: orders stand, requests are fulfilled."""
+        """Executors answer all at once: orders stand, requests are succeeded."""
         for wire, (code, id, _, body) in self.sent():
             if code in (10, 14):
                 wire.dataReceived(answer(100, id, b"how=resident" if code == 10 else b"count=1", body))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -156,20 +156,20 @@
 
 
 def test_answers_are_json():
-    assert json.loads(lines.fulfilled(7, b"\x00\xff")) == {
+    assert json.loads(lines.succeeded(7, b"\x00\xff")) == {
         "jsonrpc": "2.0",
         "id": 7,
         "result": {"bytes": "AP8="},
     }
-    assert json.loads(lines.nacked(7, 0.0))["error"] == {"code": -32014, "message": "nacked"}
-    assert json.loads(lines.nacked(7, 199.2))["error"]["data"] == {"pushback": 200}
-    assert json.loads(lines.broken_off(7))["error"]["code"] not in (-32014,)
+    assert json.loads(lines.rejected(7, 0.0))["error"] == {"code": -32014, "message": "nacked"}
+    assert json.loads(lines.rejected(7, 199.2))["error"]["data"] == {"pushback": 200}
+    assert json.loads(lines.failed(7))["error"]["code"] not in (-32014,)
     assert json.loads(lines.serving(3, True))["result"] == {"serving": True}
 
 
 ID = bytes.fromhex(CALL)
 SAID = [
-    ("answered", ID, Outcome.FULFILLED, Warmth.FOUND, 3, 0, b"body"),
+    ("answered", ID, Outcome.SUCCEEDED, Warmth.FOUND, 3, 0, b"body"),
     ("answered", ID, Outcome.MISS, Warmth.UNTOLD, 0, 0, b""),
     ("answered", ID, Outcome.FULL, Warmth.UNTOLD, 0, 1, b""),
     ("answered", ID, Outcome.ERROR, Warmth.LOAD_FAILED, 0, 0, b""),
@@ -333,7 +333,7 @@
 
 def test_settings_that_cannot_be_used_are_refused():
     """Danger: a missing or misread setting changes decisions without a word. Found by asking the module:
-    without keepS each resume is empty after a second, with sendCap -3 all is nacked."""
+    without keepS each resume is empty after a second, with sendCap -3 all is rejected."""
 
     def told(part=None, **more):
         if part is None:
--- a/tests/test_policy_process.py
+++ b/tests/test_policy_process.py
@@ -407,11 +407,11 @@
 
 
 def test_a_row_of_changes_under_load_turns_nobody_away(fleet):
-    before = nacks(fleet)
+    before = rejects(fleet)
     for n in range(4):
         assert fleet.change(20.0 + n)["state"] == "adopted"
-    assert nacks(fleet) - before <= 2  # the module's own
+    assert rejects(fleet) - before <= 2  # the module's own
 
 
-def nacks(fleet):
+def rejects(fleet):
     return sum(x["k"] == "answer" and x["o"] == "nacked" for x in read(fleet.folder))
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -139,7 +139,7 @@
             self.now,
             request,
             number,
-            Outcome.ERROR if failed else Outcome.FULFILLED,
+            Outcome.ERROR if failed else Outcome.SUCCEEDED,
             WORK_MS,
             not failed,
             Warmth.FOUND,
--- a/tests/test_ranking_front_end.py
+++ b/tests/test_ranking_front_end.py
@@ -108,7 +108,7 @@
             assert self.finals[d.request] == 0
             self.out.append((d.request, self.numbers[d.request], d.executor))
             self.numbers[d.request] += 1
-        elif d.verb in (Verb.NACK, Verb.BREAK_OFF):
+        elif d.verb in (Verb.REJECT, Verb.FAIL):
             self.finals[d.request] += 1
 
     def end_some(self, most, silent=frozenset()):
@@ -116,11 +116,11 @@
         able = [attempt for attempt in self.out if attempt[2] not in silent]
         for attempt in self.chance.sample(able, min(most, len(able))):
             self.out.remove(attempt)
-            self.end(attempt, self.chance.choice((Outcome.FULFILLED,) * 6 + tuple(Outcome)[1:8]))
+            self.end(attempt, self.chance.choice((Outcome.SUCCEEDED,) * 6 + tuple(Outcome)[1:8]))
 
     def end(self, attempt, outcome):
         request, number, executor = attempt
-        served = outcome is Outcome.FULFILLED and not self.finals[request]
+        served = outcome is Outcome.SUCCEEDED and not self.finals[request]
         self.finals[request] += served
         took = self.chance.uniform(50.0, 300.0)
         warmth = self.chance.choice((Warmth.FOUND, Warmth.BEGAN))
@@ -213,7 +213,7 @@
             assert len(again) == 1 and again[0] not in sends  # it goes on in its order
             sends += again
             number += 1
-        host.end(host.serial, Outcome.FULFILLED, number, sends[-1].executor)
+        host.end(host.serial, Outcome.SUCCEEDED, number, sends[-1].executor)
         host.pull()
     assert model_homes == 40 and held  # nobody else decided, and some homes were gone
     registry.tell(host)
@@ -320,7 +320,7 @@
     moved = {request: executor for request, number, executor in traffic.out if number}
     assert moved and not lost & set(moved.values())
     for attempt in list(traffic.out):
-        traffic.end(attempt, Outcome.FULFILLED)
+        traffic.end(attempt, Outcome.SUCCEEDED)
     traffic.out.clear()
     traffic.finish()
     assert [traffic.finals[request] for request in traffic.taken] == [1] * len(traffic.taken)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,15 +7,15 @@
 
 H, S, ONE = Effect.HARMLESS, Effect.STAMPED, Effect.ONE_SHOT
 ALL, ZONE, CELL = Scope.ALL, Scope.ZONE, Scope.CELL
-FULFILLED, ERROR, FULL, TIMEOUT = Outcome.FULFILLED, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT
+SUCCEEDED, ERROR, FULL, TIMEOUT = Outcome.SUCCEEDED, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT
 UNREACHABLE, RESET, WITHDRAWN, UNSENT = Outcome.UNREACHABLE, Outcome.RESET, Outcome.WITHDRAWN, Outcome.UNSENT
 
 
 def test_one_final_answer():
     # executors, what ends the attempt (None: nothing), finished, decisions up to the end
     table = [
-        (2, None, None, ["SEND", "NACK", "WITHDRAW"]),  # no answer: nacked before the client's time is up
-        (2, FULFILLED, True, ["SEND"]),
+        (2, None, None, ["SEND", "NACK", "WITHDRAW"]),  # no answer: rejected before the client's time is up
+        (2, SUCCEEDED, True, ["SEND"]),
         (0, None, None, ["NACK"]),  # an empty list
     ]
     for executors, outcome, finished, expected in table:
@@ -27,7 +27,7 @@
         found += host.pull(2000.0)
         assert verbs(found) == expected, (executors, outcome)
         if outcome is None and executors:  # the late outcome and the client's leaving change nothing
-            host.end(t, FULFILLED)
+            host.end(t, SUCCEEDED)
             host.fe.client_gone(host.now, t)
             assert host.pull(5000.0) == []
         assert host.fe.requests == {}
@@ -174,7 +174,7 @@
 
 
 def test_what_is_given_up_is_answered_at_once():
-    """Danger: held towards the outer limit, a nack would keep the client from asking again, and looks well on
+    """Danger: held towards the outer limit, a reject would keep the client from asking again, and looks well on
     the bench. The answer comes in the moment in which the module learns that nothing more can be done."""
     # request class, attempts allowed, how each of them ends, the answer, has a time to come back
     one, stamped, harmless = Effect.ONE_SHOT, Effect.STAMPED, Effect.HARMLESS
@@ -218,13 +218,13 @@
         began = host.now
         host.fe.request_taken(began, 99, 0, 0, 0, 4000.0, size, repeat)
         found = host.pull(latest)
-        assert [(d.verb, d.request) for d in found] == [(Verb.NACK, 99)], (size, repeat, found)
+        assert [(d.verb, d.request) for d in found] == [(Verb.REJECT, 99)], (size, repeat, found)
         assert found[0].ms == min(500.0, host.fe.mean_ms)
         assert host.pull(4000.0) == []
 
 
 def test_no_wait_goes_on_to_the_outer_limit():
-    """Danger: a load that hangs, or a list that stays empty: a request with nothing sent is nacked only when
+    """Danger: a load that hangs, or a list that stays empty: a request with nothing sent is rejected only when
     its client's time is up."""
     # the client's time, when the answer comes: half of it, but never before the quoted time (1,000 ms)
     for stay in ("empty list", "load"):
--- a/tests/test_scale_front_end.py
+++ b/tests/test_scale_front_end.py
@@ -71,7 +71,7 @@
     request = host.take(function)
     sent = [d.executor for d in host.pull() if d.verb is Verb.SEND]
     assert len(sent) == 1
-    host.end(request, Outcome.FULFILLED, executor=sent[0], took=1.0)
+    host.end(request, Outcome.SUCCEEDED, executor=sent[0], took=1.0)
     host.pull()
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -168,7 +168,7 @@
         pass
 
 
-def test_a_one_shot_behind_a_broken_link_is_broken_off_once(running):
+def test_a_one_shot_behind_a_broken_link_is_failed_once(running):
     _, peer, port, _ = running
     client = post(port)
     assert peer.hear("sent")
--- a/tests/test_worker_process.py
+++ b/tests/test_worker_process.py
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).parent.parent
 WAIT_S = 30.0
-FULFILLED, ERROR, FULL, MISS = 0, 1, 2, 8
+SUCCEEDED, ERROR, FULL, MISS = 0, 1, 2, 8
 FOUND, BEGAN, AWAITED, LOAD_FAILED = 1, 2, 3, 4
 ENTRY = """
     import os, sys, time
@@ -248,14 +248,14 @@
     rig.package()
     assert rig.front.welcome[1] == "e0" and rig.front.welcome[4] > 0
     outcome, warmth, body = rig.front.ask()
-    assert (outcome, warmth, body[:2]) == (FULFILLED, BEGAN, b"1 ")
-    assert rig.front.ask()[:2] == (FULFILLED, FOUND) and rig.shelf.counts["fetches"] == 1
+    assert (outcome, warmth, body[:2]) == (SUCCEEDED, BEGAN, b"1 ")
+    assert rig.front.ask()[:2] == (SUCCEEDED, FOUND) and rig.shelf.counts["fetches"] == 1
     running = rig.front.send("sleep 1")
     until(lambda: rig.front.report().in_hand == 1, "not running")
     rig.process.send_signal(signal.SIGTERM)
     until(lambda: any(x["event"] == "worker drains" for x in rig.log()), "no drain")
     assert rig.front.ask()[0] == FULL  # nothing new
-    assert rig.front.end(running)[0] == FULFILLED  # what runs is finished
+    assert rig.front.end(running)[0] == SUCCEEDED  # what runs is finished
     assert rig.process.wait(WAIT_S) == 0
     assert not (rig.tmp / "images" / "run" / "copy-1").exists()
 
@@ -277,7 +277,7 @@
     until(lambda: all(gone(p) for p in copies), "a child is left")
     rig.shelf.fetch_ms = 0.0
     rig.start()  # the next process does away with the half one and keeps the whole one
-    assert rig.front.ask()[0] == FULFILLED and rig.shelf.counts["fetches"] == 2
+    assert rig.front.ask()[0] == SUCCEEDED and rig.shelf.counts["fetches"] == 2
     assert not list((rig.tmp / "images").glob(".half-*"))
 
 
@@ -303,23 +303,23 @@
     good = rig.front.send(function="good")
     assert [rig.front.end(s)[:2] for s in waiting] == [(MISS, LOAD_FAILED)] * 3  # they never ran
     assert rig.front.hear("stood", 9)[2] == ERROR
-    assert rig.front.end(good)[0] == FULFILLED  # the rest goes on
+    assert rig.front.end(good)[0] == SUCCEEDED  # the rest goes on
     assert rig.front.ask(function="bad")[:2] == (MISS, LOAD_FAILED)  # backs off: no fetch for it
     until(lambda: rig.front.report().loads == 0 and len(rig.children()) == 1, "something is left of it")
     assert not list((rig.tmp / "images").glob(".half-*"))
     assert [p.name for p in (rig.tmp / "images" / "run").iterdir()] == ["copy-2"]
     if how == "wrong bytes":  # never a wrong status: refused, and loaded well once the store is well
-        until(lambda: rig.front.ask(function="bad")[0] == FULFILLED, "does not come back")
+        until(lambda: rig.front.ask(function="bad")[0] == SUCCEEDED, "does not come back")
 
 
 def test_broken_fetches_go_on_where_they_were(rig):
     rig.package(blob=os.urandom(300_000))
     rig.shelf.break_with("cut", 2, 100_000)
-    assert rig.front.ask()[0] == FULFILLED and rig.shelf.counts["resumed"] == 2
+    assert rig.front.ask()[0] == SUCCEEDED and rig.shelf.counts["resumed"] == 2
     for fault in ("stall", "reset"):
         rig.package(fault, blob=os.urandom(300_000))
         rig.shelf.break_with(fault, 1, 100_000)
-        assert rig.front.ask(function=fault)[0] == FULFILLED and rig.shelf.faults_left == 0
+        assert rig.front.ask(function=fault)[0] == SUCCEEDED and rig.shelf.faults_left == 0
 
 
 def test_calls_that_go_wrong(rig):
@@ -333,7 +333,7 @@
     until(lambda: rig.front.report().in_hand == 1, "not running")
     assert rig.front.ask("exit")[0] == ERROR and rig.front.end(beside)[0] == ERROR  # they may have run
     outcome, warmth, body = rig.front.ask()
-    assert (outcome, warmth) == (FULFILLED, BEGAN) and int(body.split()[1]) != pid
+    assert (outcome, warmth) == (SUCCEEDED, BEGAN) and int(body.split()[1]) != pid
 
 
 def test_stops(rig):
@@ -359,7 +359,7 @@
     rig.shelf.fetch_ms = 300.0
     for i, front in enumerate(fronts):
         front.order(i, copies=2)
-    assert [front.hear("stood", i)[2:] for i, front in enumerate(fronts)] == [(FULFILLED, 2)] * 5
+    assert [front.hear("stood", i)[2:] for i, front in enumerate(fronts)] == [(SUCCEEDED, 2)] * 5
     assert rig.shelf.counts["fetches"] == 1 and len(rig.children()) == 2
 
 
@@ -369,14 +369,14 @@
     first = rig.front.send("sleep 0.5", request_class="marked", mark="m")
     second = other.send("sleep 0.5", request_class="marked", mark="m")
     one, two = rig.front.end(first), other.end(second)
-    assert one[0] == two[0] == FULFILLED and one[2] == two[2]  # attached: ran once
+    assert one[0] == two[0] == SUCCEEDED and one[2] == two[2]  # attached: ran once
     assert other.ask("raise no", request_class="marked", mark="m") == (
-        FULFILLED,
+        SUCCEEDED,
         FOUND,
         one[2],
     )  # answered again
     assert rig.front.ask("raise no", request_class="marked", mark="other")[0] == ERROR
-    assert rig.front.ask("", request_class="marked", mark="other")[0] == FULFILLED  # it had not happened
+    assert rig.front.ask("", request_class="marked", mark="other")[0] == SUCCEEDED  # it had not happened
 
 
 def test_released_anew_while_calls_run(rig):
@@ -394,18 +394,18 @@
     rig.package("greedy", memory=50)
     rig.package("modest", memory=50)
     rig.package("next", memory=60)
-    assert rig.front.ask(function="greedy", memory=50.0)[0] == FULFILLED
+    assert rig.front.ask(function="greedy", memory=50.0)[0] == SUCCEEDED
     modest = rig.front.send("sleep 3", function="modest", memory=50.0)
     beside = rig.front.send("sleep 60", function="greedy", memory=50.0)
     until(lambda: rig.front.report().in_hand == 2, "not running")
     rig.shelf.fetch_ms = 1500.0
     loading = rig.front.send(function="next", memory=60.0)
     grown = rig.front.ask("grow 200", function="greedy", memory=50.0)
-    if grown[0] == FULFILLED:  # its own answer may be quicker than the look at its memory
+    if grown[0] == SUCCEEDED:  # its own answer may be quicker than the look at its memory
         assert rig.front.end(beside)[0] == ERROR
     else:
         assert grown[0] == ERROR and rig.front.end(beside)[0] == ERROR
-    assert rig.front.end(loading)[0] == FULFILLED and rig.front.end(modest)[0] == FULFILLED
+    assert rig.front.end(loading)[0] == SUCCEEDED and rig.front.end(modest)[0] == SUCCEEDED
     assert rig.process.poll() is None
 
 
@@ -416,9 +416,9 @@
     until(rig.shelf.down, "not down")
     sent = [rig.front.send(function=f"f{i}", memory=30.0) for i in range(50)]  # all wait at once
     first = [rig.front.end(serial) for serial in sent]
-    assert {outcome for outcome, *_ in first} <= {MISS, FULFILLED} and first[0][0] == MISS
+    assert {outcome for outcome, *_ in first} <= {MISS, SUCCEEDED} and first[0][0] == MISS
     for i in range(50):
-        until(lambda i=i: rig.front.ask(function=f"f{i}", memory=30.0)[0] == FULFILLED, "does not come back")
+        until(lambda i=i: rig.front.ask(function=f"f{i}", memory=30.0)[0] == SUCCEEDED, "does not come back")
 
 
 def test_reported_memory_is_what_the_system_sees(rig):
