--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -21,7 +21,7 @@
 from petrelway.interface import (
     ColdRule,
     Tenant,
-    Effect,
+    Idempotency,
     Keeping,
     Listing,
     LoadRation,
@@ -56,7 +56,7 @@
             self.now,
             7,
             Place(0, 1, 0),
-            [RequestClass(Effect.HARMLESS, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
+            [RequestClass(Idempotency.IDEMPOTENT, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
             [Tenant(1.0, RATE)],
             Permits(3, True, True, False, False, 500.0),
             Keeping(False, True, 30_000.0, 5000.0, 0.0),
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -125,7 +125,7 @@
     def _paced(self, e, t, took_ms, now):
         super()._paced(e, t, took_ms, now)
         usual = self.kind_pace.get(e.listing.machine, 1.0)
-        if took_ms > max(0.4 * t.request_class.quoted_ms, 2.5 * t.size * usual):
+        if took_ms > max(0.4 * t.request_class.latency_objective_ms, 2.5 * t.size * usual):
             self._cut(self, self.out, now)
 
 
@@ -279,7 +279,7 @@
 
 def _back(lines: list[dict], of: dict) -> float:
     """Seconds after the burst until service by the second stays within 0.03 of what it was before it."""
-    quoted = {t.name: t.quoted_ms for t in of["tariffs"]}
+    quoted = {t.name: t.latency_objective_ms for t in of["tariffs"]}
     good = {}
     for x in lines:
         if x["k"] == "answer" and x["o"] == "fulfilled":
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -24,7 +24,7 @@
     ColdRule,
     Tenant,
     Decision,
-    Effect,
+    Idempotency,
     Keeping,
     Listing,
     LoadRation,
@@ -133,7 +133,7 @@
         self.taken, self.ordered = deque[float](), deque[float]()
 
     def send(self, t: Request, e: Executor, listed: int, now: float) -> bool:
-        if t.answered or now >= t.answer_by or t.sent >= t.permits.attempts:  # rule 1
+        if t.answered or now >= t.answer_deadline_ms or t.sent >= t.permits.attempts:  # rule 1
             return False
         if t.out and not t.permits.second_copies:
             return False
@@ -146,8 +146,8 @@
     def _repeat(self, t: Request, at: Listing, now: float) -> bool:
         """Rule 2: a request that may have run goes out again only where that does no harm."""
         request_class = t.request_class
-        if request_class.effect is not Effect.STAMPED:
-            return request_class.effect is Effect.HARMLESS
+        if request_class.idempotency is not Idempotency.KEYED:
+            return request_class.idempotency is Idempotency.IDEMPOTENT
         for zone, cell, sent_ms in (*t.ran, *map(Attempt.run, t.out.values())):
             if now > sent_ms + request_class.window_ms - WINDOW_EARLY_MS:
                 return False
@@ -222,9 +222,9 @@
 
     def reject(self, t: Request) -> bool:
         """Rule 2: a reject says that a repeat does no harm."""
-        if not (t.ran or t.out) or t.request_class.effect is Effect.HARMLESS:
+        if not (t.ran or t.out) or t.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        return t.request_class.effect is Effect.STAMPED and t.request_class.scope is Scope.ALL
+        return t.request_class.idempotency is Idempotency.KEYED and t.request_class.scope is Scope.ALL
 
 
 class FrontEnd(FrontEndState):
@@ -302,9 +302,10 @@
         self.asked_ms = f.used_ms = now
         terms, luck = self.request_classes[request_class], self.chance.random()
         deadlines = Deadlines(
-            answer_by=now + remaining_ms - min(ANSWER_EARLY_MS, remaining_ms / 2),
-            quoted_by=now + terms.quoted_ms,
-            patient_until=max(now + terms.quoted_ms, now + PATIENCE * remaining_ms) - LOOK_AGAIN_MS,
+            answer_deadline_ms=now + remaining_ms - min(ANSWER_EARLY_MS, remaining_ms / 2),
+            latency_objective_at_ms=now + terms.latency_objective_ms,
+            patient_until=max(now + terms.latency_objective_ms, now + PATIENCE * remaining_ms)
+            - LOOK_AGAIN_MS,
         )
         t = Request(
             request, request_class, terms, self.permits, tenant, f, size, now, deadlines, repeat, luck
@@ -313,7 +314,7 @@
         self.gate.taken.append(now)
         self.seconds = min(SECOND_SAVED, self.seconds + SECOND_SHARE)
         self.attention.append(request)
-        heapq.heappush(self.due, (t.answer_by, request))
+        heapq.heappush(self.due, (t.answer_deadline_ms, request))
 
     def attempt_ended(
         self,
@@ -399,11 +400,11 @@
         # danger: a short request's time is mostly not its work; a plain mean of ratios calls all crowded
         weight = min(PACE_CLIP, t.size / self.mean_size)
         e.pace += min(1.0, gain * weight) * (min(pace, e.pace * PACE_CLIP) - e.pace)
-        if e.pace * self.mean_size > CROWDED * t.request_class.quoted_ms:
+        if e.pace * self.mean_size > CROWDED * t.request_class.latency_objective_ms:
             self._cut(e, e.busy, now)
         elif e.busy + 1 >= e.limit:
             e.weigh(0, e.limit + LIMIT_GROW / e.limit)
-        late = took_ms > max(LATE * t.request_class.quoted_ms, SLOWED * t.work_ms * usual)
+        late = took_ms > max(LATE * t.request_class.latency_objective_ms, SLOWED * t.work_ms * usual)
         self.late += LATE_GAIN * (late - self.late)
         if late and self.late > JAM:
             self._cut(self, self.out, now)
@@ -467,7 +468,7 @@
         """Its connection ends: the one final answer is due now."""
         now = self.clock.enter(now)
         if t := self.requests.get(request):
-            t.answer_by = min(t.answer_by, now)
+            t.answer_deadline_ms = min(t.answer_deadline_ms, now)
             self.attention.append(request)
 
     def terms_told(
@@ -561,7 +562,7 @@
     def _for_request(self, t: Request, now: float) -> Decision | None:
         if t.answered:
             return self._withdraw(t)
-        if now >= t.answer_by or not t.out and t.sent >= t.permits.attempts:
+        if now >= t.answer_deadline_ms or not t.out and t.sent >= t.permits.attempts:
             return self._give_up(t)
         return self._second(t, now) if t.out else self._place(t, now)
 
@@ -588,7 +589,7 @@
         # danger: with few own requests at each executor no limit there can hold an overload off
         shut = not t.sent and self.out >= self.limit and self.view(now) < LIMIT_LEAST
         e = None if shut else self.choose(t, now)
-        spent = e is None and t.ran and t.request_class.effect is not Effect.HARMLESS
+        spent = e is None and t.ran and t.request_class.idempotency is not Idempotency.IDEMPOTENT
         if e is None and (spent or self._hopeless(t, now)):
             return self._give_up(t)  # no place in time, or nothing may be sent again: say so now
         if e is not None and self.keeping.answers_miss and f.index not in e.resume:
@@ -605,9 +606,9 @@
         Danger: a load that hangs, or a list that stays empty, would hold a request to its outer limit."""
         if not self.ready or t.function.index in self.fleet.loading:
             return now > t.patient_until
-        late = now > t.quoted_by - (1.0 - HOLD_SHARE) * t.request_class.quoted_ms
+        late = now > t.latency_objective_at_ms - (1.0 - HOLD_SHARE) * t.request_class.latency_objective_ms
         least = min(self.kind_pace.values(), default=1.0)
-        return t.repeat or late or t.size * least > LATE * t.request_class.quoted_ms
+        return t.repeat or late or t.size * least > LATE * t.request_class.latency_objective_ms
 
     def _fit(self, t: Request, e: Executor, now: float) -> bool:
         """Whether the rules allow it, and nothing speaks against this executor for this request."""
@@ -695,7 +696,9 @@
         expected = t.size * self.pace(e, now)
         due_ms = now + OVERDUE_FACTOR * (expected + load_ms) + OVERDUE_SLACK_MS
         if skilled:  # while another one could still be in time
-            due_ms = min(due_ms, max(now + OVERDUE_LEAST * expected, t.quoted_by - 1.5 * expected))
+            due_ms = min(
+                due_ms, max(now + OVERDUE_LEAST * expected, t.latency_objective_at_ms - 1.5 * expected)
+            )
         # danger: a stamped one that waits for a load may end as never run, and still binds what is beside it
         t.ran.extend(map(Attempt.run, t.out.values()))
         sent = Attempt(t.sent, e, f, now, due_ms)
--- a/petrelway/choice_state.py
+++ b/petrelway/choice_state.py
@@ -55,8 +55,8 @@
 class Deadlines(NamedTuple):
     """The times that end what a request may wait for."""
 
-    answer_by: float  # the final answer
-    quoted_by: float  # an answer within the quoted time
+    answer_deadline_ms: float  # the final answer
+    latency_objective_at_ms: float  # an answer within the quoted time
     patient_until: float  # a load, or an executor at all
 
 
@@ -86,8 +86,8 @@
         self.size = size
         self.work_ms = 0.0  # 0: no work told
         self.taken_ms = taken_ms
-        self.answer_by = deadlines.answer_by
-        self.quoted_by = deadlines.quoted_by
+        self.answer_deadline_ms = deadlines.answer_deadline_ms
+        self.latency_objective_at_ms = deadlines.latency_objective_at_ms
         self.patient_until = deadlines.patient_until
         self.repeat = repeat
         self.luck = luck  # its draw where a budget is a fraction of one request
--- a/petrelway/console/pages.py
+++ b/petrelway/console/pages.py
@@ -24,8 +24,11 @@
     hour = t.service(now, 3600)
     yield
     rows = {}
-    for request_class in t.quoted_ms:
-        rows[request_class] = {"quoted ms": t.quoted_ms[request_class], **t.quantiles(now, request_class)}
+    for request_class in t.latency_objective_ms:
+        rows[request_class] = {
+            "quoted ms": t.latency_objective_ms[request_class],
+            **t.quantiles(now, request_class),
+        }
         yield
     series = {field: t.windows.series(now, field) for field in ("taken", "in time", "fulfilled", "nacked")}
     return {"minute": minute, "hour": hour, "latency": rows, "series": series, "own": d.own_state()}
--- a/petrelway/console/telemetry.py
+++ b/petrelway/console/telemetry.py
@@ -122,22 +122,22 @@
 class Telemetry:
     """One front end's counts, latencies, hot functions, stories and changes."""
 
-    def __init__(self, now: float, quoted_ms: dict[str, float]) -> None:
-        self.quoted_ms = quoted_ms
+    def __init__(self, now: float, latency_objective_ms: dict[str, float]) -> None:
+        self.latency_objective_ms = latency_objective_ms
         self.windows = Windows(now)
         self.totals: Counter[str] = Counter()
         self.functions = TopNames(FUNCTIONS_ROOM)
         self.warmth: dict[str, Counter] = {}  # of the functions that are counted
         self.latency: dict[str, deque[tuple[int, HdrHistogram]]] = {
-            t: deque((), LATENCY_SLOTS) for t in quoted_ms
+            t: deque((), LATENCY_SLOTS) for t in latency_objective_ms
         }
         self.stories: deque[Story] = deque((), STORIES)
         self.open: dict[int, Story] = {}  # by the host's serial
         self.changes: deque[tuple[float, str, str]] = deque((), CHANGES)
 
-    def terms_told(self, quoted_ms: dict[str, float]) -> None:
-        self.quoted_ms = quoted_ms
-        for request_class in quoted_ms:
+    def terms_told(self, latency_objective_ms: dict[str, float]) -> None:
+        self.latency_objective_ms = latency_objective_ms
+        for request_class in latency_objective_ms:
             self.latency.setdefault(request_class, deque((), LATENCY_SLOTS))
 
     # -- what the host calls
@@ -179,7 +179,7 @@
         story.answer, story.took_ms = kind, now - story.taken_ms
         story.add(now, kind)
         self.totals[kind] += 1
-        in_time = kind == "fulfilled" and story.took_ms <= self.quoted_ms[story.request_class]
+        in_time = kind == "fulfilled" and story.took_ms <= self.latency_objective_ms[story.request_class]
         self._count(now, story, kind, *(["in time"] if in_time else []))
         if kind == "fulfilled":
             self._latency(now, story.request_class, story.took_ms)
--- a/petrelway/daemon/service.py
+++ b/petrelway/daemon/service.py
@@ -58,7 +58,7 @@
         wanted = found.get("console")
         token = read_token(wanted.token_file) if wanted is not None and wanted.token_file else ""
         now = self.now()
-        self.telemetry = Telemetry(now, {t.name: t.quoted_ms for t in found["tariffs"]})
+        self.telemetry = Telemetry(now, {t.name: t.latency_objective_ms for t in found["tariffs"]})
         self.background = Background(
             self.reactor,
             Planner(now, guard.background_share, SLICE_MS, BURST_MS, BACKGROUND_LAG_MS, LONGEST_WAIT_MS),
@@ -95,7 +95,7 @@
 
     def _adopted(self, told) -> None:
         super()._adopted(told)
-        self.telemetry.terms_told(self.made.quoted_ms)
+        self.telemetry.terms_told(self.made.latency_objective_ms)
         self.shedder.told([c.portion for c in self.made.tenants])
         self.telemetry.changed(self.now(), "terms", f"version {told.version} ({told.digest})")
 
--- a/petrelway/emulator/day.py
+++ b/petrelway/emulator/day.py
@@ -133,7 +133,7 @@
     def play(self) -> list[dict[str, Any]]:
         """Play it to the end; the record's lines, by time."""
         last_ms = self.epoch_ms + self.day["day"].length_s * 1e3
-        last_ms += max(t.outer_ms for t in self.day["tariffs"]) + LATE_MS
+        last_ms += max(t.deadline_ms for t in self.day["tariffs"]) + LATE_MS
         collecting = gc.isenabled()
         gc.disable()  # cycles are few and short-lived; a full collection walks the whole fleet
         try:
@@ -162,8 +162,8 @@
     def _make_executors(self) -> None:
         day = self.day
         truths = {f.name: f for f in functions(day)}
-        window = max([t.window_ms for t in day["tariffs"] if t.effect == "stamped"] or [1.0])
-        scopes = {t.scope for t in day["tariffs"] if t.effect == "stamped"}
+        window = max([t.window_ms for t in day["tariffs"] if t.idempotency == "stamped"] or [1.0])
+        scopes = {t.scope for t in day["tariffs"] if t.idempotency == "stamped"}
         groups: dict[tuple[int, int], Marks] = {}
         self.lives: dict[int, Life] = {}
         for post in self.script.posts:
--- a/petrelway/emulator/policy_traffic.py
+++ b/petrelway/emulator/policy_traffic.py
@@ -78,9 +78,9 @@
     classes = [
         RequestClassTerms(
             name=f"class-{number:02}",
-            effect="harmless",
-            quoted_ms=200.0 + number,
-            outer_ms=3000.0,
+            idempotency="harmless",
+            latency_objective_ms=200.0 + number,
+            deadline_ms=3000.0,
             worth=1000.0 + (revision if number == 0 else 0),
         )
         for number in range(CLASSES)
--- a/petrelway/front/ask.py
+++ b/petrelway/front/ask.py
@@ -53,8 +53,8 @@
     ) -> None:
         """`places` and `names`: the indices of request classes and tenants; else in their order."""
         self.request_classes = {
-            name: (places[name] if places else i, outer_ms)
-            for i, (name, outer_ms) in enumerate(request_classes.items())
+            name: (places[name] if places else i, deadline_ms)
+            for i, (name, deadline_ms) in enumerate(request_classes.items())
         }
         self.tenants = {name: names[name] if names else i for i, name in enumerate(tenants)}
         self.catalogue = catalogue
@@ -64,7 +64,7 @@
         name = told.get("tariff", "")
         if name not in self.request_classes:
             raise EventFault(422, "tariff", repr(name), "one of " + ", ".join(self.request_classes))
-        request_class, outer_ms = self.request_classes[name]
+        request_class, deadline_ms = self.request_classes[name]
         name = told.get("customer", "")
         if self.tenants and name not in self.tenants:
             raise EventFault(422, "customer", repr(name), "one that the settings list")
@@ -73,7 +73,7 @@
         function = self.catalogue.find(name) if name else None
         if function is None:
             raise EventFault(422, "function", repr(name), "one that the settings list, by name or pattern")
-        remaining_ms = min(outer_ms, _amount(told, "timeleft", outer_ms))
+        remaining_ms = min(deadline_ms, _amount(told, "timeleft", deadline_ms))
         if remaining_ms <= 0.0:
             raise EventFault(422, "timeleft", told["timeleft"], "more than 0 ms")
         repeat = told.get("repeat", "false")
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -99,14 +99,19 @@
         request_class: str,
         tenant: str,
         function: Function,
-        outer_ms: float,
+        deadline_ms: float,
         work_ms: float,
         content_type: str,
         body: bytes,
     ) -> None:
         self.index, self.serial, self.mark = index, serial, mark
         self.request_class, self.tenant, self.function = request_class, tenant, function
-        self.outer_ms, self.work_ms, self.content_type, self.body = outer_ms, work_ms, content_type, body
+        self.deadline_ms, self.work_ms, self.content_type, self.body = (
+            deadline_ms,
+            work_ms,
+            content_type,
+            body,
+        )
         self.out: dict[int, Out] = {}
         self.sent = 0
         # None: answered, or its client has gone
@@ -334,9 +339,9 @@
         serial, number = key
         index = self.requests.index.get(serial, -1)
         t, now = self.taken.get(index), self.now()
-        if t is None or t.answer is None or number not in t.out or now >= t.outer_ms:
+        if t is None or t.answer is None or number not in t.out or now >= t.deadline_ms:
             return 0.0
-        return t.outer_ms - now if self.front_end.may_go(now, index, number) else 0.0
+        return t.deadline_ms - now if self.front_end.may_go(now, index, number) else 0.0
 
     def order_answered(self, executor: int, order: int, outcome: Outcome, copies: int) -> None:
         if (found := self.orders.pop(order, None)) is None:
@@ -492,7 +497,7 @@
     def _send(self, t: Taken, executor: int, limit_ms: float, now: float) -> None:
         number, t.sent = t.sent, t.sent + 1
         out = t.out[number] = Out(executor, now)
-        remaining_ms = t.outer_ms - now
+        remaining_ms = t.deadline_ms - now
         key, f = (t.serial, number), t.function
         if remaining_ms <= 0.0 or t.answer is None:
             self.attempt_ended(executor, key, Outcome.UNSENT, 0, 0, codec.Load(), "", b"")
--- a/petrelway/front/terms.py
+++ b/petrelway/front/terms.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from ..interface import Tenant, Effect, Permits, Scope, RequestClass
+from ..interface import Tenant, Idempotency, Permits, Scope, RequestClass
 from .ask import Asks, Catalogue
 from .host import Function
 
@@ -20,7 +20,7 @@
     request_class_names: list[str]
     tenant_names: list[str]
     permits: Permits
-    quoted_ms: dict[str, float]
+    latency_objective_ms: dict[str, float]
     longest_ms: float  # the longest outer limit
 
 
@@ -36,7 +36,7 @@
         _places(before and before.request_class_names),
     )
     for t in found["tariffs"]:
-        request_class = RequestClass(Effect(t.effect), Scope(t.scope), t.window_ms, t.quoted_ms, t.outer_ms, t.worth,
+        request_class = RequestClass(Idempotency(t.idempotency), Scope(t.scope), t.window_ms, t.latency_objective_ms, t.deadline_ms, t.worth,
                         t.late_share)  # fmt: skip
         _put(request_classes, places, t.name, request_class)
     # what was dropped has no share any more
@@ -50,12 +50,15 @@
                              f"{PLACES_BOUND}; start it again")  # fmt: skip
     functions = [Function(f.name, f.memory_mb, f.lanes, f.load_ms) for f in found["functions"]]
     asks = Asks(
-        {t.name: t.outer_ms for t in found["tariffs"]}, [c.name for c in found["customers"]],
+        {t.name: t.deadline_ms for t in found["tariffs"]}, [c.name for c in found["customers"]],
         Catalogue(functions), places, names,
     )  # fmt: skip
-    quoted_ms = {**(before.quoted_ms if before else {}), **{t.name: t.quoted_ms for t in found["tariffs"]}}
-    longest_ms = max([before.longest_ms if before else 0.0, *(t.outer_ms for t in found["tariffs"])])
-    return Terms(asks, request_classes, tenants, list(places), list(names), permits_of(found["permits"]), quoted_ms,
+    latency_objective_ms = {
+        **(before.latency_objective_ms if before else {}),
+        **{t.name: t.latency_objective_ms for t in found["tariffs"]},
+    }
+    longest_ms = max([before.longest_ms if before else 0.0, *(t.deadline_ms for t in found["tariffs"])])
+    return Terms(asks, request_classes, tenants, list(places), list(names), permits_of(found["permits"]), latency_objective_ms,
                  longest_ms)  # fmt: skip
 
 
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -10,12 +10,12 @@
 from typing import NamedTuple
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What running a request twice would do."""
 
-    HARMLESS = "harmless"
-    STAMPED = "stamped"
-    ONE_SHOT = "one-shot"
+    IDEMPOTENT = "harmless"
+    KEYED = "stamped"
+    NON_IDEMPOTENT = "one-shot"
 
 
 class Scope(Enum):
@@ -123,11 +123,11 @@
 
 
 class RequestClass(NamedTuple):
-    effect: Effect
+    idempotency: Idempotency
     scope: Scope
     window_ms: float
-    quoted_ms: float
-    outer_ms: float
+    latency_objective_ms: float
+    deadline_ms: float
     worth: float
     late_share: float
 
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -17,7 +17,7 @@
 from ..fleet.service import FleetService, Listed, new_token
 from ..front.dialling import connector
 from ..front.host import Function, Host, PendingAnswer
-from ..interface import Effect
+from ..interface import Idempotency
 from ..listing import Line
 from ..platform.faults import PlatformFault
 from ..platform.lines import Asks
@@ -116,7 +116,7 @@
         portions = [c.portion for c in terms.tenants]
         self.shedder = Shedder(portions, LAG_BOUND_MS, OPEN_BOUND, BUFFERED_BOUND, sockets, chance)
         request_classes = [
-            (name, t.outer_ms, t.effect is Effect.STAMPED)
+            (name, t.deadline_ms, t.idempotency is Idempotency.KEYED)
             for name, t in zip(terms.request_class_names, terms.request_classes)
         ]
         self.door = Door(
@@ -287,7 +287,7 @@
         yield self._pause(0.0)
         yield defer.maybeDeferred(self.port.stopListening)
         self.door.leave()
-        longest_ms = max(t.outer_ms for t in self.told.terms.request_classes) + LEAVE_SLACK_MS
+        longest_ms = max(t.deadline_ms for t in self.told.terms.request_classes) + LEAVE_SLACK_MS
         if not (yield self._in_time(host.nothing_owed(), longest_ms)):
             self.log.error("answers owed past every outer limit", owed=host.owed)
             host.fail_all()
--- a/petrelway/platform/lines.py
+++ b/petrelway/platform/lines.py
@@ -111,7 +111,7 @@
     def __init__(self, request_classes: list[tuple[str, float, bool]], tenants: list[str]) -> None:
         """`request classes`: name, outer limit in ms (0: none told), whether a mark against repeats is wanted."""
         self.request_classes = {
-            name: (i, outer_ms, keyed) for i, (name, outer_ms, keyed) in enumerate(request_classes)
+            name: (i, deadline_ms, keyed) for i, (name, deadline_ms, keyed) in enumerate(request_classes)
         }
         self.tenants = {name: i for i, name in enumerate(tenants)}
 
@@ -152,7 +152,7 @@
         params: dict[str, Any],
         ears: ClientEars,
     ) -> None:
-        index, outer_ms, keyed = request_class
+        index, deadline_ms, keyed = request_class
         call, function, once = params.get("call"), params.get("row"), params.get("dedupe")
         if type(call) is not str or not HEX16(call):
             raise LineFault(number, BAD_PARAMS, "call: 16 hex digits wanted")
@@ -167,7 +167,9 @@
             tenant = self.tenants.get(org, -1) if type(org) is str else -1
             if tenant < 0:
                 raise LineFault(number, BAD_PARAMS, "org: no such tenant")
-        remaining_ms = _amount(number, params, "ttl", None, outer_ms * 1.001 + 50.0 if outer_ms else 1e9)
+        remaining_ms = _amount(
+            number, params, "ttl", None, deadline_ms * 1.001 + 50.0 if deadline_ms else 1e9
+        )
         if remaining_ms <= 0.0:
             raise LineFault(number, BAD_PARAMS, "ttl: more than 0 wanted")
         work_ms = _amount(number, params, "work", 0.0, WORK_BOUND_MS)
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -113,9 +113,9 @@
 def differences(before: str, after: str) -> list[Difference]:
     """What differs between two documents, in their order.
 
-    >>> one = '{"request classes":[{"name":"quick","outer_ms":500.0}]}'
+    >>> one = '{"request classes":[{"name":"quick","deadline_ms":500.0}]}'
     >>> differences(one, one.replace("500", "400"))[0].where
-    'request classes[quick].outer_ms'
+    'request classes[quick].deadline_ms'
     >>> differences(one, '{"request classes":[]}')[0].danger
     'requests that name it are refused'
     """
--- a/petrelway/rehearsal/benchday.py
+++ b/petrelway/rehearsal/benchday.py
@@ -111,15 +111,15 @@
     request_classes, work, shares = [], {}, {}
     for c in day["classes"].each():
         name = str(c["name"].value)
-        effect = EFFECTS.get(c["effect"].value)
-        if effect is None:
+        idempotency = EFFECTS.get(c["effect"].value)
+        if idempotency is None:
             raise SettingsFault(
                 c.file, [Fault(c["effect"].path, repr(c["effect"].value), ", ".join(EFFECTS))]
             )
         request_classes.append(
             {
                 "name": name,
-                "effect": effect,
+                "effect": idempotency,
                 "scope": SCOPES.get(c.get("group", "all"), "all"),
                 "window_ms": c["window"].ms(),
                 "quoted_ms": c["aim"].ms(),
--- a/petrelway/rehearsal/conductor.py
+++ b/petrelway/rehearsal/conductor.py
@@ -245,7 +245,7 @@
                         max(0.0, plan.epoch_ms + h.at_ms - now) / 1e3, self._happen, h.number, h.what
                     )
                 )
-        last = plan.epoch_ms + day["day"].length_s * 1e3 + max(t.outer_ms for t in day["tariffs"])
+        last = plan.epoch_ms + day["day"].length_s * 1e3 + max(t.deadline_ms for t in day["tariffs"])
         while (now := self.reactor.seconds() * 1e3) < last and not self.failed:
             self._tell(now)
             wait: defer.Deferred = defer.Deferred()
--- a/petrelway/rehearsal/inmemory.py
+++ b/petrelway/rehearsal/inmemory.py
@@ -79,7 +79,10 @@
             "executors": list(range(1000, 1000 + len(self.script.posts))),
         }
         self.end_ms = (
-            epoch_ms + self.day["day"].length_s * 1e3 + max(t.outer_ms for t in self.day["tariffs"]) + 2000.0
+            epoch_ms
+            + self.day["day"].length_s * 1e3
+            + max(t.deadline_ms for t in self.day["tariffs"])
+            + 2000.0
         )
         self.records: list[Lines] = []
 
@@ -150,7 +153,7 @@
         """The record's lines, by time."""
         plan = self.plan
         last_s = (
-            plan.epoch_ms + plan.day["day"].length_s * 1e3 + max(t.outer_ms for t in plan.day["tariffs"])
+            plan.epoch_ms + plan.day["day"].length_s * 1e3 + max(t.deadline_ms for t in plan.day["tariffs"])
         ) / 1e3
         self.world.run(last_s)
         ended = [
--- a/petrelway/rehearsal/realworkers.py
+++ b/petrelway/rehearsal/realworkers.py
@@ -68,7 +68,7 @@
         },
         "images": {"folder": str(plan.folder / f"images-{post.name}"), "bound_mb": 200},
         "stamped": [
-            {"tariff": t.name, "window_ms": t.window_ms} for t in day["tariffs"] if t.effect == "stamped"
+            {"tariff": t.name, "window_ms": t.window_ms} for t in day["tariffs"] if t.idempotency == "stamped"
         ],
         "log": {"file": str(plan.folder / f"{post.name}.log")},
     }
--- a/petrelway/rehearsal/report.py
+++ b/petrelway/rehearsal/report.py
@@ -64,10 +64,10 @@
         if mark in good:
             ms = good[mark] - line["at"]  # from when it was due: no coordinated omission
             took.append(ms)
-            if ms <= t.quoted_ms:
+            if ms <= t.latency_objective_ms:
                 got, in_time = worth, in_time + 1
                 useful_ms += line["w"] if ran[mark] else 0.0
-            elif ms <= t.outer_ms:
+            elif ms <= t.deadline_ms:
                 got, late = worth * t.late_share, late + 1
         asked += worth
         earned += got
--- a/petrelway/rules/checker.py
+++ b/petrelway/rules/checker.py
@@ -38,7 +38,7 @@
 
 
 class RequestClassRule(NamedTuple):
-    effect: str  # harmless, stamped or one-shot
+    idempotency: str  # harmless, stamped or one-shot
     scope: str  # all, zone or cell
     window_ms: float
     mean_work_ms: float
@@ -67,7 +67,7 @@
     return Figures(
         {
             t.name: RequestClassRule(
-                t.effect, t.scope, t.window_ms, work[t.name].mean_ms if t.name in work else 150.0
+                t.idempotency, t.scope, t.window_ms, work[t.name].mean_ms if t.name in work else 150.0
             )
             for t in day["tariffs"]
         },
@@ -214,7 +214,7 @@
     """Rule 2: no effect twice, and no reject that promises too much."""
     for request, some in book.received.items():
         request_class = told.request_classes[some[0]["f"]]
-        if request_class.effect == "harmless":
+        if request_class.idempotency == "harmless":
             continue
         some = sorted(some, key=lambda line: line["n"])
         key = (some[0]["m"], some[0]["r"], request[0])
@@ -223,7 +223,7 @@
             for later in some[i + 1 :]:
                 if proved <= sent(later):
                     continue
-                if request_class.effect == "one-shot":
+                if request_class.idempotency == "one-shot":
                     yield Fault(
                         2,
                         later["t"],
@@ -257,7 +257,7 @@
             end is not None
             and end["k"] == "answer"
             and end["o"] == "nacked"
-            and (request_class.effect == "one-shot" or request_class.scope != "all")
+            and (request_class.idempotency == "one-shot" or request_class.scope != "all")
         ):
             for line in some:
                 if book.proofs.get((request, line["n"]), float("inf")) > end["t"]:
@@ -265,7 +265,7 @@
                         2,
                         end["t"],
                         _name(key),
-                        f"{request_class.effect}: nacked though transmission {line['n']} "
+                        f"{request_class.idempotency}: nacked though transmission {line['n']} "
                         f"may have run at {line['ex']}",
                         [line, end],
                     )
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -46,9 +46,9 @@
 
 class RequestClassTerms(Strict):
     name: Name
-    effect: Literal["harmless", "stamped", "one-shot"]
-    quoted_ms: Some
-    outer_ms: Some
+    idempotency: Literal["harmless", "stamped", "one-shot"] = field(name="effect")
+    latency_objective_ms: Some = field(name="quoted_ms")
+    deadline_ms: Some = field(name="outer_ms")
     scope: Literal["all", "hall", "cell"] = "all"
     window_ms: Ms = 0.0
     worth: Annotated[float, Meta(ge=0)] = 1.0
@@ -253,11 +253,15 @@
                 faults.append(Fault(f"{section}[{i}].name", repr(each.name), "a name not used before"))
             seen.add(each.name)
     for i, t in enumerate(found["tariffs"]):
-        if t.quoted_ms > t.outer_ms:
+        if t.latency_objective_ms > t.deadline_ms:
             faults.append(
-                Fault(f"tariffs[{i}].quoted_ms", f"{t.quoted_ms:g}", f"outer_ms = {t.outer_ms:g} at most")
+                Fault(
+                    f"tariffs[{i}].quoted_ms",
+                    f"{t.latency_objective_ms:g}",
+                    f"outer_ms = {t.deadline_ms:g} at most",
+                )
             )
-        if t.effect == "stamped" and t.window_ms <= 0.0:
+        if t.idempotency == "stamped" and t.window_ms <= 0.0:
             faults.append(Fault(f"tariffs[{i}].window_ms", f"{t.window_ms:g}", "more than 0 where stamped"))
     portions = sum(c.portion for c in found["customers"])
     if portions > 1.0 + 1e-9:
--- a/petrelway/standin/life.py
+++ b/petrelway/standin/life.py
@@ -41,7 +41,7 @@
         self.record, self.store, self.functions, self.marks = record, store, functions, marks
         self.kind = day["fleet"].kinds[post.kind]
         self.chance = random.Random(f"{day['day'].seed}/{post.name}")
-        self.stamped = {t.name for t in day["tariffs"] if t.effect == "stamped"}
+        self.keyed = {t.name for t in day["tariffs"] if t.idempotency == "stamped"}
         self.tenants = [c.name for c in day["customers"]]
         traffic = day["traffic"]
         self.mean_work = {
@@ -151,7 +151,7 @@
         m = self.machine
         if m is None:
             return
-        stamped = request_class in self.stamped
+        keyed = request_class in self.keyed
         until_ms = m.now() + remaining_ms
         m.take(
             Work(
@@ -163,7 +163,7 @@
                 memory_mb,
                 lanes,
                 tenant,
-                stamped,
+                keyed,
                 work_ms,
                 io_ms,
                 until_ms,
--- a/petrelway/standin/machine.py
+++ b/petrelway/standin/machine.py
@@ -28,7 +28,7 @@
     memory_mb: float
     lanes: int
     tenant: str
-    stamped: bool
+    keyed: bool
     work_ms: float
     io_ms: float
     until_ms: float
@@ -160,7 +160,7 @@
         if self._throttled(work.tenant, now):
             self.clock.callLater(self.throttle[2] / 1e3, self.say_ended, work, FULL, 0, 0)
             return
-        if work.stamped and self.marks.seen(work.mark, now):
+        if work.keyed and self.marks.seen(work.mark, now):
             self.note("dropped repeat", work)
             self.say_ended(work, SUCCEEDED, FOUND, 0)
             return
@@ -356,7 +356,7 @@
         copy = job.copy
         self._leave(job, copy)
         outcome = ERROR if self.chance.random() < self.errors else SUCCEEDED
-        if outcome == SUCCEEDED and job.work.stamped:
+        if outcome == SUCCEEDED and job.work.keyed:
             self.marks.add(job.work.mark, self.now())
         self._say(job.work, outcome, job.warmth, job.crowd)
         self._settle(copy)
--- a/petrelway/standin/manners.py
+++ b/petrelway/standin/manners.py
@@ -24,8 +24,8 @@
 
     def left_ms(self, request_class: int, since_first_ms: float) -> float:
         """The time that a try is given; 0 if there is too little to begin one."""
-        outer_ms = self.request_classes[request_class].outer_ms
-        left = min(outer_ms * self.traffic.try_share, outer_ms - since_first_ms)
+        deadline_ms = self.request_classes[request_class].deadline_ms
+        left = min(deadline_ms * self.traffic.try_share, deadline_ms - since_first_ms)
         return left if left > LEAST_LEFT_MS else 0.0
 
     def patience_ms(self, left_ms: float) -> tuple[float, bool]:
@@ -40,12 +40,12 @@
         honours = advised_ms and self.chance.random() < self.traffic.honour
         wait_ms = advised_ms if honours else self.traffic.backoff_ms
         # a broken-off one may have run: only a harmless one is tried again
-        if outcome == "nacked" or self.request_classes[request_class].effect == "harmless":
+        if outcome == "nacked" or self.request_classes[request_class].idempotency == "harmless":
             return self._again(turn, wait_ms, False, self.traffic.retries)
         return None
 
     def after_lost(self, request_class: int, turn: int) -> Again | None:
-        if self.request_classes[request_class].effect != "harmless":
+        if self.request_classes[request_class].idempotency != "harmless":
             return None
         return self._again(turn, SOON_MS, True, self.traffic.retries)
 
--- a/petrelway/standin/parts.py
+++ b/petrelway/standin/parts.py
@@ -35,7 +35,7 @@
         self.end_ms = (
             self.epoch_ms
             + self.day["day"].length_s * 1e3
-            + max(t.outer_ms for t in self.day["tariffs"])
+            + max(t.deadline_ms for t in self.day["tariffs"])
             + LATE_MS
         )
 
@@ -61,8 +61,8 @@
     store = StoreClient()
     reactor.connectTCP("127.0.0.1", plan.ports["store"], store)
     truths = {f.name: f for f in functions(plan.day)}
-    window = max([t.window_ms for t in plan.day["tariffs"] if t.effect == "stamped"] or [1.0])
-    scopes = {t.scope for t in plan.day["tariffs"] if t.effect == "stamped"}
+    window = max([t.window_ms for t in plan.day["tariffs"] if t.idempotency == "stamped"] or [1.0])
+    scopes = {t.scope for t in plan.day["tariffs"] if t.idempotency == "stamped"}
     groups: dict[int, Marks] = {}
     executors = {}
     for post in plan.script.posts:
--- a/petrelway/terms.py
+++ b/petrelway/terms.py
@@ -13,7 +13,7 @@
 from .interface import (
     ColdRule,
     Tenant,
-    Effect,
+    Idempotency,
     Keeping,
     LoadRation,
     Permits,
@@ -22,7 +22,11 @@
     RequestClass,
 )
 
-EFFECTS = {"retryable": Effect.HARMLESS, "dedup": Effect.STAMPED, "fragile": Effect.ONE_SHOT}
+EFFECTS = {
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.NON_IDEMPOTENT,
+}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
@@ -145,12 +149,12 @@
 
 
 def _request_class(told: Part) -> RequestClass:
-    effect = told.word("effect", EFFECTS)
-    stamped = effect is Effect.STAMPED
+    idempotency = told.word("effect", EFFECTS)
+    keyed = idempotency is Idempotency.KEYED
     return RequestClass(
-        effect,
-        told.word("dedupScope", SCOPES) if stamped else Scope.ALL,
-        told.number("windowS", 1e3, 0.0, SECONDS) if stamped else 0.0,
+        idempotency,
+        told.word("dedupScope", SCOPES) if keyed else Scope.ALL,
+        told.number("windowS", 1e3, 0.0, SECONDS) if keyed else 0.0,
         told.number("aimS", 1e3, LEAST, SECONDS),
         told.number("deadlineS", 1e3, LEAST, SECONDS),
         told.number("worth", default=1.0),
--- a/petrelway/worker/serving.py
+++ b/petrelway/worker/serving.py
@@ -114,7 +114,7 @@
             function,
             memory_mb,
             lanes,
-            w.stamped.get(request_class, 0.0),
+            w.keyed.get(request_class, 0.0),
             remaining_ms,
             body,
         )
@@ -147,7 +147,7 @@
         desk: Callable[[float], Desk],
         images: Images,
         store: Store,
-        stamped: dict[str, float],
+        keyed: dict[str, float],
         start_timeout_ms: float,
         measure_ms: float,
         recheck_ms: float,
@@ -158,7 +158,7 @@
     ) -> None:
         self.reactor, self.name, self.machine = reactor, name, machine
         self.address, self.port_number = address, port
-        self.images, self.store, self.stamped = images, store, stamped
+        self.images, self.store, self.keyed = images, store, keyed
         self.start_timeout_ms, self.measure_ms, self.recheck_ms = start_timeout_ms, measure_ms, recheck_ms
         self.log, self.record, self.in_thread = log, record, in_thread
         self.process = process or uuid.uuid4().hex[:12]
--- a/tests/test_alike.py
+++ b/tests/test_alike.py
@@ -68,7 +68,7 @@
         w = self.worker
         w.reactor, w.name, w.machine, w.process, w.started_ms = self.clock, "executor-0", "quad", "q", 0.0
         w.desk = Desk(self.clock.seconds() * 1e3, 700.0, 2, 8, 32, 3, 3000.0, False, misses, 9000.0, 500.0)
-        w.links, w.copies, w.loading, w.stamped, w.log, w.record = [], {}, {}, {}, Log(), None
+        w.links, w.copies, w.loading, w.keyed, w.log, w.record = [], {}, {}, {}, Log(), None
         w.turn = w.wake = w.emptied = None
         w.closing = False
         w.counts = Counter()
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -75,7 +75,7 @@
     for out, limit, work, expected in (
         (1, 2.0, 100.0, ["SEND"]),
         (2, 2.0, 100.0, []),
-        (2, 2.0, 900.0, ["NACK"]),
+        (2, 2.0, 900.0, ["REJECT"]),
     ):
         host = Host(20)
         host.teach(0)
@@ -178,7 +178,7 @@
     t = host.take(0)
     host.fe.seconds = 0.0
     assert verbs(host.pull(250.0)) == []  # held for a place
-    assert verbs(host.pull(200.0)) == ["NACK"] and t not in host.fe.requests
+    assert verbs(host.pull(200.0)) == ["REJECT"] and t not in host.fe.requests
 
 
 def test_restart_and_memory():
@@ -224,7 +224,7 @@
 
 def test_who_gives_way():
     """Danger: in a jam clients ask again, and their repeats must not push out what is new."""
-    for repeat, expected in ((False, []), (True, ["NACK"])):
+    for repeat, expected in ((False, []), (True, ["REJECT"])):
         host = Host(2)
         host.teach(0)
         for e in host.fe.ready:
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -26,16 +26,16 @@
     """A settings object as the platform tells it."""
     classes = []
     for name in draw(st.lists(NAME, min_size=1, max_size=5, unique=True)):
-        effect = draw(st.sampled_from(["retryable", "dedup", "fragile"]))
+        idempotency = draw(st.sampled_from(["retryable", "dedup", "fragile"]))
         aim = draw(seconds(0.2, 3.0))
         told = {
             "name": name,
-            "effect": effect,
+            "effect": idempotency,
             "aimS": aim,
             "deadlineS": aim + draw(seconds(0.0, 6.0)),
             "worth": draw(st.integers(0, 9)),
         }
-        if effect == "dedup":
+        if idempotency == "dedup":
             told |= {
                 "dedupScope": draw(st.sampled_from(["all", "zone", "cell"])),
                 "windowS": draw(seconds(0.1, 9.0)),
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -30,7 +30,7 @@
         self.desk = Desk(self.now, **(told | changes))
         self.serial, self.acts, self.ends, self.stood = 0, [], [], []
 
-    def take(self, function="f", mb=300.0, lanes=2, stamped=0.0, mark="", remaining=3000.0, front="a"):
+    def take(self, function="f", mb=300.0, lanes=2, keyed=0.0, mark="", remaining=3000.0, front="a"):
         self.serial += 1
         self.desk.taken(
             self.now,
@@ -41,7 +41,7 @@
             function,
             mb,
             lanes,
-            stamped,
+            keyed,
             remaining,
             b"",
         )
@@ -198,9 +198,9 @@
 
 def test_repeats_attach_and_inherit():
     rig = Rig()
-    one = rig.take(stamped=2000.0, mark="m", front="a")
-    two = rig.take(stamped=2000.0, mark="m", front="b")
-    three = rig.take(stamped=2000.0, mark="m", front="c")
+    one = rig.take(keyed=2000.0, mark="m", front="a")
+    two = rig.take(keyed=2000.0, mark="m", front="b")
+    three = rig.take(keyed=2000.0, mark="m", front="c")
     rig.pull()
     rig.desk.withdrawn(rig.now, "a", one, 0)  # the first leaves before it ran: the next takes its place
     rig.desk.load_stood(rig.now, 1)
@@ -211,11 +211,11 @@
     rig.desk.call_ended(rig.now, 1, calls[0].call, True, b"x")
     rig.pull()
     assert [(s, o) for s, o, _ in rig.ends] == [(three, SUCCEEDED)] and two not in dict.fromkeys(rig.ends)
-    rig.take(stamped=2000.0, mark="m", front="d")
+    rig.take(keyed=2000.0, mark="m", front="d")
     rig.pull()
     assert rig.ends[-1][1:] == (SUCCEEDED, FOUND) and rig.desk.in_work == 0
     rig.pull(2100.0)
-    rig.take(stamped=2000.0, mark="m", front="d")
+    rig.take(keyed=2000.0, mark="m", front="d")
     assert [do for do, *_ in rig.does()] == [Do.CALL]  # the mark is forgotten
     table = Repeats(marks_bound=3, bytes_bound=100)
     for i in range(6):
@@ -332,7 +332,7 @@
                     rig.take(
                         chance.choice("fgh"),
                         chance.choice([200.0, 400.0]),
-                        stamped=chance.choice([0, 500.0]),
+                        keyed=chance.choice([0, 500.0]),
                         mark=chance.choice("xyz"),
                         remaining=chance.choice([300.0, 5000.0]),
                         front=chance.choice("ab"),
--- a/tests/test_forward_clock.py
+++ b/tests/test_forward_clock.py
@@ -6,7 +6,7 @@
 from helpers import Host, verbs
 from test_host import Rig
 
-from petrelway.interface import Effect, Outcome, Part, Verb, Warmth
+from petrelway.interface import Idempotency, Outcome, Part, Verb, Warmth
 
 STEPS_MS = (-3_600_000.0, -5_000.0, -1.0, 5_000.0, 3_600_000.0)
 TTL_MS = 1000.0
@@ -77,7 +77,7 @@
 
 
 def test_a_window_against_repeats_is_not_opened_by_a_step_back():
-    host = Host(2, Effect.STAMPED)
+    host = Host(2, Idempotency.KEYED)
     request = host.take(remaining=20_000.0)
     assert "SEND" in verbs(host.pull())
     host.pull(3_900.0)  # the window is 4 s
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -10,7 +10,7 @@
 from petrelway.interface import (
     ColdRule,
     Tenant,
-    Effect,
+    Idempotency,
     Keeping,
     LoadRation,
     Outcome,
@@ -29,7 +29,7 @@
     def __init__(
         self,
         executors=2,
-        effect=Effect.HARMLESS,
+        idempotency=Idempotency.IDEMPOTENT,
         misses=False,
         kind=FrontEnd,
         ration=(0.0, 0.0, 0.0),
@@ -40,7 +40,7 @@
             self.clock.seconds() * 1e3,
             3,
             Place(0, 1, 0),
-            [RequestClass(effect, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
+            [RequestClass(idempotency, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
             [Tenant(1.0, 50.0)],
             Permits(sends, True, True, False, False, 500.0),
             Keeping(misses, True, 8000.0, 5000.0, 0.0),
@@ -166,7 +166,7 @@
 def test_random_races_leave_nothing_owed():
     for seed in range(25):
         chance = random.Random(seed)
-        rig = Rig(executors=3, effect=chance.choice(list(Effect)), misses=chance.random() < 0.4)
+        rig = Rig(executors=3, idempotency=chance.choice(list(Idempotency)), misses=chance.random() < 0.4)
         out, deferreds = [], []
         for _ in range(120):
             what = chance.randrange(6)
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -74,7 +74,7 @@
         until=5000.0,
         memory=300.0,
         lanes=2,
-        stamped=False,
+        keyed=False,
         mark="",
         io=0.0,
         tenant="c",
@@ -90,7 +90,7 @@
                 memory,
                 lanes,
                 tenant,
-                stamped,
+                keyed,
                 work,
                 io,
                 self.now() + until,
@@ -240,12 +240,12 @@
 
 def test_stamped_repeats_and_one_tenant_throttled():
     rig = Rig()
-    rig.take(stamped=True, mark="m")
+    rig.take(keyed=True, mark="m")
     rig.run(300)
-    rig.take(stamped=True, mark="m")
+    rig.take(keyed=True, mark="m")
     assert rig.notes.count(("ran", 1)) == 1 and rig.notes[-1] == ("dropped repeat", 2)
     rig.run(1100)
-    rig.take(stamped=True, mark="m")  # the mark is forgotten
+    rig.take(keyed=True, mark="m")  # the mark is forgotten
     rig.run(200)
     assert ("ran", 3) in rig.notes
     rig.m.throttle = ("c", 2.0, 50.0)
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -315,7 +315,7 @@
     client, _ = rig.client()
     client.dataReceived(request(1, call=CALL, ttl=1000))
     taken = next(iter(rig.node.host.taken.values()))
-    left_ms = taken.outer_ms - rig.reactor.seconds() * 1e3
+    left_ms = taken.deadline_ms - rig.reactor.seconds() * 1e3
     assert 700.0 < left_ms < 800.0
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from petrelway.interface import Effect, Outcome, Warmth
+from petrelway.interface import Idempotency, Outcome, Warmth
 from petrelway.listing import Line
 from petrelway.platform import bus, frames, lines
 from petrelway.platform.faults import PlatformFault
@@ -297,10 +297,10 @@
     told = read_told(configuration())
     assert (told.name, told.address, told.port, told.bus) == ("n0", "127.0.0.1", 8443, ("127.0.0.1", 7070))
     assert (told.seed, told.sockets) == (0x8C1F30D27A5BE964, 256)
-    assert [t.effect for t in told.terms.request_classes] == [
-        Effect.HARMLESS,
-        Effect.STAMPED,
-        Effect.ONE_SHOT,
+    assert [t.idempotency for t in told.terms.request_classes] == [
+        Idempotency.IDEMPOTENT,
+        Idempotency.KEYED,
+        Idempotency.NON_IDEMPOTENT,
     ]
     assert (told.terms.streams, told.terms.connect_ms, told.terms.idle_ms) == (4, 250.0, 30_000.0)
     table = [
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -855,7 +855,7 @@
 def test_what_differs_and_what_is_dangerous_is_said():
     before = canonical(check("a", {**TREE, "customers": [{"name": "n", "portion": 0.5, "rate": 5}]}, ALONE))
     tree = json.loads(before)
-    tree["tariffs"][0].update(outer_ms=900.0, effect="one-shot")
+    tree["tariffs"][0].update(deadline_ms=900.0, idempotency="one-shot")
     tree["customers"] = [{"name": "s", "portion": 0.5, "rate": 9.0}]
     found = {d.where: d for d in differences(before, json.dumps(tree))}
     assert found["tariffs[quick].outer_ms"].danger and found["tariffs[quick].effect"].danger
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -14,7 +14,7 @@
 from petrelway.interface import (
     ColdRule,
     Tenant,
-    Effect,
+    Idempotency,
     Keeping,
     Listing,
     LoadRation,
@@ -73,7 +73,7 @@
             now,
             self.made,
             Place(number, self.front_ends, 0),
-            [RequestClass(Effect.HARMLESS, Scope.ALL, 4000.0, 1000.0, 4000.0, 1.0, 0.1)],
+            [RequestClass(Idempotency.IDEMPOTENT, Scope.ALL, 4000.0, 1000.0, 4000.0, 1.0, 0.1)],
             [told],
             Permits(3, True, True, False, False, 500.0),
             Keeping(False, True, 8000.0, 10_000.0, 0.0),
--- a/tests/test_ranking_front_end.py
+++ b/tests/test_ranking_front_end.py
@@ -8,7 +8,7 @@
 from helpers import Host, verbs
 from test_ranking import model
 
-from petrelway.interface import Effect, Listing, Outcome, Scope, Stage, Verb, Warmth
+from petrelway.interface import Idempotency, Listing, Outcome, Scope, Stage, Verb, Warmth
 from petrelway.ranking import WINDOW
 
 EXECUTORS = 3 * WINDOW
@@ -375,11 +375,11 @@
 KEYED = [
     (Scope.CELL, 0.0, True, "SEND"),
     (Scope.CELL, 3000.0, True, "SEND"),
-    (Scope.CELL, 3960.0, True, "BREAK_OFF"),  # the key is nearly forgotten
-    (Scope.CELL, 0.0, False, "BREAK_OFF"),
+    (Scope.CELL, 3960.0, True, "FAIL"),  # the key is nearly forgotten
+    (Scope.CELL, 0.0, False, "FAIL"),
     (Scope.ZONE, 0.0, True, "SEND"),
-    (Scope.ZONE, 3960.0, True, "BREAK_OFF"),
-    (Scope.ZONE, 0.0, False, "BREAK_OFF"),
+    (Scope.ZONE, 3960.0, True, "FAIL"),
+    (Scope.ZONE, 0.0, False, "FAIL"),
 ]
 
 
@@ -388,7 +388,7 @@
 def test_a_function_moves_while_a_keyed_attempt_is_out(scope, waited_ms, others, expected, function):
     """Its whole window drains, so that its homes are elsewhere; the repeat stays in the cell or zone."""
     registry = Registry(cell_size=3 if scope is Scope.CELL else CELL_SIZE)
-    host = front_end(registry, effect=Effect.STAMPED, scope=scope, seconds=False)
+    host = front_end(registry, idempotency=Idempotency.KEYED, scope=scope, seconds=False)
     request = host.take(function, remaining=9000.0)
     first = host.pull()[0].executor
     f = host.fe.functions[function]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,9 +3,9 @@
 from helpers import START, Host, verbs
 
 from petrelway.choice import HOLD_SHARE, LOOK_AGAIN_MS
-from petrelway.interface import Effect, Outcome, Part, Scope, Stage, Verb
+from petrelway.interface import Idempotency, Outcome, Part, Scope, Stage, Verb
 
-H, S, ONE = Effect.HARMLESS, Effect.STAMPED, Effect.ONE_SHOT
+H, S, ONE = Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT
 ALL, ZONE, CELL = Scope.ALL, Scope.ZONE, Scope.CELL
 SUCCEEDED, ERROR, FULL, TIMEOUT = Outcome.SUCCEEDED, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT
 UNREACHABLE, RESET, WITHDRAWN, UNSENT = Outcome.UNREACHABLE, Outcome.RESET, Outcome.WITHDRAWN, Outcome.UNSENT
@@ -14,9 +14,9 @@
 def test_one_final_answer():
     # executors, what ends the attempt (None: nothing), finished, decisions up to the end
     table = [
-        (2, None, None, ["SEND", "NACK", "WITHDRAW"]),  # no answer: rejected before the client's time is up
+        (2, None, None, ["SEND", "REJECT", "WITHDRAW"]),  # no answer: rejected before the client's time is up
         (2, SUCCEEDED, True, ["SEND"]),
-        (0, None, None, ["NACK"]),  # an empty list
+        (0, None, None, ["REJECT"]),  # an empty list
     ]
     for executors, outcome, finished, expected in table:
         host = Host(executors, seconds=False)
@@ -35,7 +35,7 @@
     host.take(remaining=500.0)
     host.pull(480.0)
     assert host.now < 100_500.0 and len(host.fe.requests) == 1  # held, not yet due
-    assert verbs(host.pull(16.0)) == ["NACK"]
+    assert verbs(host.pull(16.0)) == ["REJECT"]
 
 
 def test_no_effect_twice():
@@ -44,33 +44,33 @@
         (H, ALL, ERROR, 0.0, "SEND", None),
         (H, ALL, TIMEOUT, 3000.0, "SEND", None),
         (S, ALL, ERROR, 0.0, "SEND", None),
-        (S, ALL, RESET, 3960.0, "NACK", None),  # the mark is nearly forgotten
-        (S, ZONE, ERROR, 0.0, "SEND", "hall"),
-        (S, ZONE, RESET, 3960.0, "BREAK_OFF", None),
+        (S, ALL, RESET, 3960.0, "REJECT", None),  # the mark is nearly forgotten
+        (S, ZONE, ERROR, 0.0, "SEND", "zone"),
+        (S, ZONE, RESET, 3960.0, "FAIL", None),
         (S, CELL, ERROR, 0.0, "SEND", "cell"),
-        (S, CELL, WITHDRAWN, 3960.0, "BREAK_OFF", None),
-        (ONE, ALL, ERROR, 0.0, "BREAK_OFF", None),
-        (ONE, ALL, TIMEOUT, 0.0, "BREAK_OFF", None),
-        (ONE, ALL, WITHDRAWN, 0.0, "BREAK_OFF", None),
+        (S, CELL, WITHDRAWN, 3960.0, "FAIL", None),
+        (ONE, ALL, ERROR, 0.0, "FAIL", None),
+        (ONE, ALL, TIMEOUT, 0.0, "FAIL", None),
+        (ONE, ALL, WITHDRAWN, 0.0, "FAIL", None),
         (ONE, ALL, UNREACHABLE, 0.0, "SEND", None),
         (ONE, ALL, FULL, 0.0, "SEND", None),
         (ONE, ALL, UNSENT, 0.0, "SEND", None),
         (S, ZONE, FULL, 3960.0, "SEND", None),  # it never ran: anywhere, any time
     ]
-    for effect, scope, outcome, waited, expected, group in table:
-        host = Host(8, effect, scope, seconds=False)
+    for idempotency, scope, outcome, waited, expected, group in table:
+        host = Host(8, idempotency, scope, seconds=False)
         t = host.take(remaining=9000.0)
         first = host.pull()[0]
         host.pull(waited)
         host.end(t, outcome, executor=first.executor)
         second = host.pull(50.0)
-        assert verbs(second)[:1] == [expected], (effect, scope, outcome, waited, second)
+        assert verbs(second)[:1] == [expected], (idempotency, scope, outcome, waited, second)
         at, then = (host.fe.executors[d.executor].listing for d in (first, second[0])) if group else (0, 0)
         if group:
             assert getattr(at, group) == getattr(then, group)
     host = Host(4, ONE, seconds=True)  # one-shot: no second copy beside the first, however late
     host.take(remaining=3900.0)
-    assert verbs(host.pull(3899.0)) == ["SEND", "BREAK_OFF", "WITHDRAW"]
+    assert verbs(host.pull(3899.0)) == ["SEND", "FAIL", "WITHDRAW"]
 
 
 def test_attempt_limit():
@@ -80,7 +80,7 @@
         for number in range(sends):
             found += host.pull(200.0)
             host.end(t, Outcome.RESET, number=number, executor=found[-1].executor)
-        assert verbs(found + host.pull()) == ["SEND"] * sends + ["NACK"]
+        assert verbs(found + host.pull()) == ["SEND"] * sends + ["REJECT"]
 
 
 def test_drains_are_kept():
@@ -138,7 +138,7 @@
 
 def test_what_was_out_together_binds():
     """Danger: a stamped request waits for a load, which fails: it never ran, but binds what was beside it."""
-    host = Host(8, Effect.STAMPED, Scope.ZONE)
+    host = Host(8, Idempotency.KEYED, Scope.ZONE)
     for e in range(8):
         host.teach(e)
     t = host.take(remaining=9000.0)
@@ -148,7 +148,7 @@
     host.fe.seconds = 0.0
     host.pull(2600.0)  # past the window of the first, within that of the second
     host.end(t, ERROR, number=1, executor=sent[1].executor)
-    assert verbs(host.pull(50.0)) == ["BREAK_OFF"]
+    assert verbs(host.pull(50.0)) == ["FAIL"]
 
 
 def test_the_gate_itself():
@@ -157,7 +157,7 @@
         ({}, Stage.READY, True, True),
         ({"answered": True}, Stage.READY, True, False),
         ({"sent": 5}, Stage.READY, True, False),
-        ({"answer_by": 0.0}, Stage.READY, True, False),
+        ({"answer_deadline_ms": 0.0}, Stage.READY, True, False),
         ({}, Stage.READY, False, False),  # one out, and no second copies
         ({}, Stage.DRAINING, True, False),
         ({}, Stage.GONE, True, False),
@@ -177,18 +177,18 @@
     """Danger: held towards the outer limit, a reject would keep the client from asking again, and looks well on
     the bench. The answer comes in the moment in which the module learns that nothing more can be done."""
     # request class, attempts allowed, how each of them ends, the answer, has a time to come back
-    one, stamped, harmless = Effect.ONE_SHOT, Effect.STAMPED, Effect.HARMLESS
+    one, keyed, idempotent = Idempotency.NON_IDEMPOTENT, Idempotency.KEYED, Idempotency.IDEMPOTENT
     table = [
-        (one, Scope.ALL, 5, [Outcome.ERROR], "BREAK_OFF"),
-        (one, Scope.ALL, 5, [Outcome.RESET], "BREAK_OFF"),
-        (stamped, Scope.CELL, 5, [Outcome.ERROR], "BREAK_OFF"),  # the other one is in another cell
-        (stamped, Scope.ALL, 1, [Outcome.ERROR], "NACK"),
-        (harmless, Scope.ALL, 1, [Outcome.RESET], "NACK"),
-        (harmless, Scope.ALL, 2, [Outcome.UNREACHABLE, Outcome.ERROR], "NACK"),
-        (one, Scope.ALL, 2, [Outcome.FULL, Outcome.FULL], "NACK"),
+        (one, Scope.ALL, 5, [Outcome.ERROR], "FAIL"),
+        (one, Scope.ALL, 5, [Outcome.RESET], "FAIL"),
+        (keyed, Scope.CELL, 5, [Outcome.ERROR], "FAIL"),  # the other one is in another cell
+        (keyed, Scope.ALL, 1, [Outcome.ERROR], "REJECT"),
+        (idempotent, Scope.ALL, 1, [Outcome.RESET], "REJECT"),
+        (idempotent, Scope.ALL, 2, [Outcome.UNREACHABLE, Outcome.ERROR], "REJECT"),
+        (one, Scope.ALL, 2, [Outcome.FULL, Outcome.FULL], "REJECT"),
     ]
-    for effect, scope, sends, ends, expected in table:
-        host = Host(3 if scope is Scope.ALL else 2, effect=effect, scope=scope, sends=sends)
+    for idempotency, scope, sends, ends, expected in table:
+        host = Host(3 if scope is Scope.ALL else 2, idempotency=idempotency, scope=scope, sends=sends)
         if scope is Scope.CELL:
             host.lists({0: Stage.READY, 2: Stage.READY})
         t = host.take()
@@ -197,8 +197,8 @@
             host.now += 70.0
             host.end(t, outcome, number=number, executor=sent.executor)
         (answer,) = host.pull()  # the clock stands still
-        assert answer.verb.name == expected, (effect, ends, answer)
-        assert answer.ms == (min(500.0, host.fe.mean_ms) if expected == "NACK" else 0.0), answer
+        assert answer.verb.name == expected, (idempotency, ends, answer)
+        assert answer.ms == (min(500.0, host.fe.mean_ms) if expected == "REJECT" else 0.0), answer
         assert host.pull(4000.0) == []  # and nothing follows up to the outer limit
 
 
@@ -241,7 +241,7 @@
             began, t = host.now, host.take(remaining=remaining)
             assert host.pull(expected - LOOK_AGAIN_MS - 1.0) == [], (stay, remaining)
             found = [d for d in host.pull(LOOK_AGAIN_MS + 1.0) if d.request == t]
-            assert verbs(found) == ["NACK"] and host.now <= began + expected, (stay, remaining)
+            assert verbs(found) == ["REJECT"] and host.now <= began + expected, (stay, remaining)
             assert found[0].ms > 0.0
 
 
@@ -302,10 +302,10 @@
     assert len(host.fe.requests[t].out) == host.fe.requests[t].sent == 1  # asking changes nothing
 
     for late_ms, may in ((3800.0, True), (3990.0, False)):  # rule 2: the window of 4,000 ms
-        host, t, executor = waiting(effect=Effect.STAMPED, sends=5)
+        host, t, executor = waiting(idempotency=Idempotency.KEYED, sends=5)
         host.end(t, Outcome.RESET, executor=executor)
         (again,) = [d for d in host.pull() if d.verb is Verb.SEND]
-        host.fe.requests[t].answer_by += 9000.0  # a client that waits longer than the window
+        host.fe.requests[t].answer_deadline_ms += 9000.0  # a client that waits longer than the window
         host.now += late_ms
         assert again.executor != executor and host.fe.may_go(host.now, t, 1) is may, late_ms
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -257,7 +257,7 @@
     tree, left_out = convert(str(file), 0.5)
     day = check_day("x", tree)
     assert (day["fleet"].executors, day["fleet"].fronts, day["day"].length_s) == (4, 2, 20.0)
-    assert day["tariffs"][0].effect == "stamped" and day["tariffs"][0].scope == "hall"
+    assert day["tariffs"][0].idempotency == "stamped" and day["tariffs"][0].scope == "hall"
     assert day["keeping"].answers_miss and day["ration"].window_ms == 5000.0
     # half the load of 4 executors of 4 cores at a mean speed of 1.35, 100 ms a request
     assert abs(day["traffic"].rate - 0.5 * 4 * 4 * 1.35 * 10) < 1.0
--- a/tests/test_settled_closes.py
+++ b/tests/test_settled_closes.py
@@ -41,7 +41,7 @@
 
 
 GO_ON = ("an empty line", "an interrupt that names nothing", "an interrupt for what is over")
-HARMLESS = {
+IDEMPOTENT = {
     **BAD_LINES,
     "an interrupt for what is over": INTERRUPT.replace(b"{}", b'{"call":"%s"}' % B.encode()),
 }
@@ -54,7 +54,7 @@
         client = n.client()
         client.say(request(1, call=A, ttl=3500))
         until(lambda: bytes.fromhex(A) in holder.held)
-        client.say(HARMLESS[kind])
+        client.say(IDEMPOTENT[kind])
         client.say(request(2, call="f" * 16, ttl=3500))
         until(lambda: len(holder.held) == 2)
         for id in (A, "f" * 16):
