--- a/petrelway/capacity/report.py
+++ b/petrelway/capacity/report.py
@@ -65,9 +65,9 @@
 def breaking_table(found: Sequence[Row]) -> Table:
     """The rows that pass their limit somewhere, the smallest fleet first; sums left out."""
     broken = [row for row in found if row.breaks_at is not None and not row.is_sum]
-    ordered = sorted(broken, key=lambda row: row.breaks_at)
+    load_requested = sorted(broken, key=lambda row: row.breaks_at)
     heads = ("front ends", "role", "situation", "quantity", "instances are", "limit", "evidence there")
-    return Table(heads, tuple(_breaking_cells(row) for row in ordered))
+    return Table(heads, tuple(_breaking_cells(row) for row in load_requested))
 
 
 def missing_table(found: Sequence[Row]) -> Table:
--- a/petrelway/capacity/slopes.py
+++ b/petrelway/capacity/slopes.py
@@ -95,10 +95,10 @@
     >>> fit("a.b_by_c", "B", "c", Evidence.MEASURED, [(1, 12), (2, 14), (4, 18), (8, 99)]).knee
     8
     """
-    ordered = sorted(points)
-    if len({size for size, _ in ordered}) < LEAST_POINTS:
-        raise SlopeFault(f"{name}: {LEAST_POINTS} sizes at least are needed, {len(ordered)} given")
-    kept = list(ordered)
+    load_requested = sorted(points)
+    if len({size for size, _ in load_requested}) < LEAST_POINTS:
+        raise SlopeFault(f"{name}: {LEAST_POINTS} sizes at least are needed, {len(load_requested)} given")
+    kept = list(load_requested)
     while True:
         base, slope, error = _line(kept)
         size, cost = kept[-1]
@@ -106,13 +106,13 @@
         if not off or len(kept) <= LEAST_POINTS - 1:
             break
         kept.pop()
-    knee = ordered[len(kept)][0] if len(kept) < len(ordered) else None
+    knee = load_requested[len(kept)][0] if len(kept) < len(load_requested) else None
     return Slope(
         name=name,
         unit=unit,
         dimension=dimension,
         evidence=evidence,
-        points=tuple(Point(size, cost) for size, cost in ordered),
+        points=tuple(Point(size, cost) for size, cost in load_requested),
         base=base,
         slope=slope,
         slope_error=error,
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -75,7 +75,7 @@
 LANES_FILLED = 0.5  # of a function's lanes at its homes
 OWN_VIEW = 8.0  # weight of own requests in flight for each executor against what the shared rank presumes
 SPARSE = 0.25  # own requests in flight for each executor: with fewer, our own counts tell nothing
-ORDERS_PER_EXECUTOR = 3  # own orders under way at one executor
+LOAD_REQUESTS_PER_EXECUTOR = 3  # own orders under way at one executor
 LOADS_START = 1.5  # own orders under way in all, before any load was seen ...
 LOADS_SLOW = 1.6  # ... cut when a load took more than this times its usual time, or failed ...
 LOADS_CUT = 0.7  # ... by this, at most once in the time of a load ...
@@ -130,7 +130,7 @@
         self.own, self.part = own, Part(own, start)  # shares of the fleet's rations: what is told has an end
         self.seen: dict[int, tuple[float, float]] = {}  # machine kind -> decayed count of succeeded, time
         self.usual: dict[int, float] = {}  # what a warm one of the kind carries of our requests, a ms
-        self.taken, self.ordered = deque[float](), deque[float]()
+        self.taken, self.load_requested = deque[float](), deque[float]()
 
     def send(self, t: Request, e: Executor, listed: int, now: float) -> bool:
         if t.answered or now >= t.answer_deadline_ms or t.sent >= t.permits.attempts:  # rule 1
@@ -208,15 +208,15 @@
     def order(self, e: Executor, now: float) -> bool:
         ration = self.ration
         self.forget(now)
-        left = ration.free + ration.share * len(self.taken) - len(self.ordered)
+        left = ration.free + ration.share * len(self.taken) - len(self.load_requested)
         ready = e.listing.stage is Stage.READY  # rule 3
         return ready and (ration.window_ms <= 0.0 or left >= 1.0)  # rule 5
 
     def forget(self, now: float) -> None:
         """Danger: where orders are rare or not rationed, the times of all requests would be kept for ever."""
         window_ms = self.ration.window_ms
-        while self.ordered and self.ordered[0] < now - window_ms - RATION_EDGE_MS:
-            self.ordered.popleft()
+        while self.load_requested and self.load_requested[0] < now - window_ms - RATION_EDGE_MS:
+            self.load_requested.popleft()
         while self.taken and self.taken[0] < now - window_ms + RATION_EDGE_MS:
             self.taken.popleft()
 
@@ -370,7 +370,7 @@
         elif outcome is Outcome.MISS:
             self._unskilled(e, f)
             t.missed.add(e.listing.executor)
-            if self.keeping.answers_miss and self.keeping.orders and warmth is not Warmth.LOAD_FAILED:
+            if self.keeping.answers_miss and self.keeping.load_requests and warmth is not Warmth.LOAD_FAILED:
                 self.wanted[f.index] = e
         elif outcome is Outcome.FULL:
             # danger: some refuse one tenant only, and slowly; that says nothing of the rest
@@ -429,7 +429,7 @@
     def _load_seen(self, f: Function, took_ms: float) -> None:
         f.load_ms += LOAD_GAIN * (min(max(0.0, took_ms), PACE_CLIP * f.load_ms) - f.load_ms)
 
-    def order_answered(
+    def load_request_answered(
         self, now: float, executor: int, function: int, outcome: Outcome, copies: int, took_ms: float
     ) -> None:
         now = self.clock.enter(now)
@@ -593,7 +593,11 @@
         if e is None and (spent or self._hopeless(t, now)):
             return self._give_up(t)  # no place in time, or nothing may be sent again: say so now
         if e is not None and self.keeping.answers_miss and f.index not in e.resume:
-            if f.index in e.orders or t.missed and (f.index in self.fleet.loading or f.index in self.wanted):
+            if (
+                f.index in e.load_requests
+                or t.missed
+                and (f.index in self.fleet.loading or f.index in self.wanted)
+            ):
                 e = None  # wait for the order rather than miss again
         if e is None:
             f.held[t.index] = None
@@ -663,7 +667,7 @@
         # danger: in an overload every function would overflow at once, and the loads make all slower
         n = len(self.ready)
         closed = self.fleet.crowded > CLOSED_SHARE * n
-        loads = self.fleet.orders >= LOADS_SHARE * n or f.index in self.fleet.loading
+        loads = self.fleet.load_requests >= LOADS_SHARE * n or f.index in self.fleet.loading
         if not f.skilled or not closed and not loads:
             for e in f.order.all(
                 self.fleet.ring
@@ -675,7 +679,7 @@
 
     def _expected(self, e: Executor, t: Request, now: float) -> float:
         """The weighted backlog with this request, and the load that it would wait for."""
-        load_ms = t.function.load_ms if t.function.index in e.orders else 0.0
+        load_ms = t.function.load_ms if t.function.index in e.load_requests else 0.0
         return self.backlog(e, now) + self.pace(e, now) * t.size + load_ms
 
     def pace(self, e: Executor, now: float) -> float:
@@ -691,7 +695,7 @@
         f = t.function
         if not self.gate.send(t, e, len(self.ready), now):  # whatever chose it
             return None
-        skilled = f.index in e.resume and f.index not in e.orders
+        skilled = f.index in e.resume and f.index not in e.load_requests
         load_ms = 0.0 if skilled else f.load_ms
         expected = t.size * self.pace(e, now)
         due_ms = now + OVERDUE_FACTOR * (expected + load_ms) + OVERDUE_SLACK_MS
@@ -707,8 +711,8 @@
         t.sent += 1
         if not self.keeping.answers_miss and f.index not in e.resume:
             self._skilled(e, f, now)  # it takes the request and gains the skill
-            e.ordered(f.index, now)
-        sent.busy = f.index not in e.orders
+            e.load_requested(f.index, now)
+        sent.busy = f.index not in e.load_requests
         e.weigh(sent.busy)
         if self.gate.is_cold(e, now):
             e.cold_sends.append(now)
@@ -733,12 +737,16 @@
         return self._send(t, e, now)
 
     def _order(self, e: Executor, f: Function, now: float) -> Decision | None:
-        if len(e.orders) >= ORDERS_PER_EXECUTOR or f.index in e.orders or not self.gate.order(e, now):
+        if (
+            len(e.load_requests) >= LOAD_REQUESTS_PER_EXECUTOR
+            or f.index in e.load_requests
+            or not self.gate.order(e, now)
+        ):
             return None
-        e.ordered(f.index, now)
+        e.load_requested(f.index, now)
         self.under_way[e.listing.executor, f.index] = now + OVERDUE_FACTOR * f.load_ms
-        self.gate.ordered.append(now)
-        return Decision(Verb.ORDER, executor=e.listing.executor, function=f.index, number=1)
+        self.gate.load_requested.append(now)
+        return Decision(Verb.PREFETCH, executor=e.listing.executor, function=f.index, number=1)
 
     def _tidy(self, now: float) -> None:
         """Forget what is stale, so that memory stays bounded; renew what is counted over the fleet."""
@@ -750,14 +758,16 @@
             while e.cold_sends and now - e.cold_sends[0] > 2 * self.gate.cold.warm_ms:
                 e.cold_sends.popleft()
         busy = {t.function.index for t in self.requests.values()}
-        busy.update(i for e in self.executors.values() for i in (*e.resume, *e.orders))
+        busy.update(i for e in self.executors.values() for i in (*e.resume, *e.load_requests))
         self.wanted = {i: e for i, e in self.wanted.items() if i in busy}
         # danger: one that hangs must not stop all loads
         self.under_way = {order: overdue for order, overdue in self.under_way.items() if now < overdue}
         gone = [
             i
             for i, e in self.executors.items()
-            if e.listing.stage is Stage.GONE and not e.out and now > e.told_ms + self.keeping.order_timeout_ms
+            if e.listing.stage is Stage.GONE
+            and not e.out
+            and now > e.told_ms + self.keeping.load_request_timeout_ms
         ]
         old = [i for i, f in self.functions.items() if i not in busy and now - f.used_ms > FORGET_FUNCTION_MS]
         for e in map(self.executors.__getitem__, gone):
--- a/petrelway/choice_state.py
+++ b/petrelway/choice_state.py
@@ -107,7 +107,7 @@
         self.fleet = fleet
         self.listed = False  # counted in the fleet ...
         self.crowded = False  # ... and there among those at their limit
-        self.orders: dict[int, float] = {}  # function -> when ordered
+        self.load_requests: dict[int, float] = {}  # function -> when ordered
         self.told_ms = now  # when the present stage was first told
         self.stable = listing.stable
         self.salt = salt_of(self.stable)
@@ -125,7 +125,7 @@
         self.refused: dict[int, float] = {}  # tenant -> until when
         self.errors: dict[int, tuple[float, float]] = {}  # request class -> share of errors, when
         self.cold_sends: deque[float] = deque()
-        for index in tuple(self.orders):
+        for index in tuple(self.load_requests):
             self.loaded(index)
 
     def list(self, listing: Listing, now: float) -> None:
@@ -143,15 +143,15 @@
             self.crowded = not self.crowded
             self.fleet.crowded += self.listed * (1 if self.crowded else -1)
 
-    def ordered(self, function: int, now: float) -> None:
+    def load_requested(self, function: int, now: float) -> None:
         """An order to load this function goes out."""
-        if function not in self.orders and self.listed:
+        if function not in self.load_requests and self.listed:
             self.fleet.count(function, 1)
-        self.orders[function] = now
+        self.load_requests[function] = now
 
     def loaded(self, function: int) -> None:
         """The order has ended, however."""
-        if self.orders.pop(function, None) is not None and self.listed:
+        if self.load_requests.pop(function, None) is not None and self.listed:
             self.fleet.count(function, -1)
 
 
@@ -163,7 +163,7 @@
         self.ring: HashRing[Executor] = HashRing()  # the ready ones
         self.ready = self.ring.members
         self.crowded = 0  # executors at their limit
-        self.orders = 0  # own orders under way
+        self.load_requests = 0  # own orders under way
         self.loading: dict[int, int] = {}  # function -> own orders under way
 
     def list(self, executor: Executor, ready: bool) -> None:
@@ -173,7 +173,7 @@
         step = 1 if ready else -1
         executor.listed = ready
         self.crowded += step * executor.crowded
-        for function in executor.orders:
+        for function in executor.load_requests:
             self.count(function, step)
         if ready:
             self.ring.add(executor)
@@ -182,7 +182,7 @@
 
     def count(self, function: int, step: int) -> None:
         """So many more own orders under way for this function."""
-        self.orders += step
+        self.load_requests += step
         left = self.loading.get(function, 0) + step
         self.loading[function] = left
         if not left:
--- a/petrelway/console/explainer.py
+++ b/petrelway/console/explainer.py
@@ -41,7 +41,7 @@
         "busy": e.busy,
         "limit": round(e.limit, 1),
         "resume": len(e.resume),
-        "orders": len(e.orders),
+        "orders": len(e.load_requests),
         "cold": cold,
         "avoided": avoided,
     }
@@ -61,7 +61,7 @@
         {"executor": names.get(i, str(i)), "seen s ago": round((now - e.resume.get(index, now)) / 1e3, 1)}
         for i, e in f.skilled.items()
     ]
-    loading = [names.get(i, str(i)) for i, e in fe.executors.items() if index in e.orders]
+    loading = [names.get(i, str(i)) for i, e in fe.executors.items() if index in e.load_requests]
     return {
         "function": name,
         "warm at": warm,
--- a/petrelway/daemon/service.py
+++ b/petrelway/daemon/service.py
@@ -143,7 +143,7 @@
         return {
             "open triggers": self.host.owed,
             "held": sum(len(f.held) for f in fe.functions.values()),
-            "orders and loads": sum(len(e.orders) for e in fe.executors.values()),
+            "orders and loads": sum(len(e.load_requests) for e in fe.executors.values()),
             "executors ready": len(fe.ready),
             "functions known": len(fe.functions),
             "limit of own triggers": round(fe.limit, 1),
--- a/petrelway/drill/codec.py
+++ b/petrelway/drill/codec.py
@@ -86,7 +86,7 @@
             code, delay, executor, fn, copies = item[2:7]
             function = self.functions.index.get(fn)
             if function is not None:
-                front_end.order_answered(
+                front_end.load_request_answered(
                     now, self._executor(executor), function, _outcome(code), copies or 0, (delay or 0.0) * 1e3
                 )
         elif kind not in ("firstByte", "inbox", "probeResult"):  # the module asks for none of these yet
@@ -114,7 +114,7 @@
             return ["bounce", self.name, request, d.ms / 1e3]
         if d.verb is Verb.FAIL:
             return ["respondError", self.name, request]
-        if d.verb is Verb.ORDER:
+        if d.verb is Verb.PREFETCH:
             return ["startCopy", self.name, executor, d.number, function]
         if d.verb is Verb.UNLOAD:
             return ["drop", self.name, function, executor]
--- a/petrelway/emulator/fronts.py
+++ b/petrelway/emulator/fronts.py
@@ -115,7 +115,7 @@
             [c.name for c in found["customers"]],
             fleet.zones,
             fleet.machines,
-            found["keeping"].order_timeout_ms,
+            found["keeping"].load_request_timeout_ms,
             place,
             self.chance,
             log,
--- a/petrelway/emulator/links.py
+++ b/petrelway/emulator/links.py
@@ -160,7 +160,7 @@
         "next_ms",
         "wire",
         "out",
-        "orders",
+        "load_requests",
         "dialling",
         "closed",
     )
@@ -185,7 +185,7 @@
         self.next_ms = 0.0  # no connect before
         self.wire: Wire | None = None
         self.out: dict[Key, None] = {}
-        self.orders: dict[int, Question] = {}
+        self.load_requests: dict[int, Question] = {}
         self.dialling: dict[Key, None] = {}  # what ends as unreachable when the connect under way does
         self.closed = False
 
@@ -240,8 +240,8 @@
         wire = self._connected()
         if wire is None:
             return Outcome.UNREACHABLE
-        self.orders[id] = Question.LOAD
-        wire.say(wire.life.ordered, wire, id, function, copies, memory_mb, lanes)
+        self.load_requests[id] = Question.LOAD
+        wire.say(wire.life.load_requested, wire, id, function, copies, memory_mb, lanes)
         return None
 
     def unload(self, function: str) -> None:
@@ -253,8 +253,8 @@
         if wire.life.machine is not None:
             wire.life.machine.unload(function)
 
-    def forget_order(self, id: int) -> bool:
-        return self.orders.pop(id, None) is not None
+    def forget_load_request(self, id: int) -> bool:
+        return self.load_requests.pop(id, None) is not None
 
     def moved(self, address: str, port: int) -> None:
         if port != self.port:
@@ -332,8 +332,8 @@
             )
 
     def stood(self, id: int, outcome: int, copies: int) -> None:
-        if self.orders.pop(id, None) is not None:
-            self.listener.order_answered(self.executor, id, Outcome(outcome), copies)
+        if self.load_requests.pop(id, None) is not None:
+            self.listener.load_request_answered(self.executor, id, Outcome(outcome), copies)
 
     def broke(self, wire: Wire) -> None:
         if wire is not self.wire:
@@ -342,7 +342,7 @@
         if not self.closed:
             self._wait()
         out, self.out = self.out, {}
-        orders, self.orders = self.orders, {}
+        load_requests, self.load_requests = self.load_requests, {}
         for key in out:
             self.report_unanswered(key, Outcome.RESET)
-        self.report_reset(orders.items())
+        self.report_reset(load_requests.items())
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -141,7 +141,7 @@
         tenants: list[str],
         zones: list[str],
         machines: list[str],
-        order_timeout_ms: float,
+        load_request_timeout_ms: float,
         connect: Callable,
         chance: random.Random,
         log,
@@ -155,7 +155,12 @@
         self.link = link
         self.clock, self.front_end, self.name, self.process = clock, front_end, name, process
         self.request_classes, self.tenants = request_classes, tenants
-        self.order_timeout_ms, self.connect, self.chance, self.log = order_timeout_ms, connect, chance, log
+        self.load_request_timeout_ms, self.connect, self.chance, self.log = (
+            load_request_timeout_ms,
+            connect,
+            chance,
+            log,
+        )
         self.meter, self.deciding_s = meter, 0.0
         self.requests, self.executors, self.functions = Ids(), Ids(), Ids()
         self.zones, self.machines = Ids(), Ids()
@@ -165,8 +170,10 @@
         self.taken: dict[int, Taken] = {}  # by index
         self.links: dict[int, Link] = {}
         self.known: dict[int, Function] = {}
-        self.orders: dict[int, tuple[int, int, float, object]] = {}  # id -> executor, function, when, timer
-        self.serial = self.order_id = self.owed = 0
+        self.load_requests: dict[
+            int, tuple[int, int, float, object]
+        ] = {}  # id -> executor, function, when, timer
+        self.serial = self.load_request_id = self.owed = 0
         self.held_bytes = 0  # bodies of requests without a final answer
         self.counts: Counter[str] = Counter()
         self.turn = self.wake = None
@@ -343,15 +350,15 @@
             return 0.0
         return t.deadline_ms - now if self.front_end.may_go(now, index, number) else 0.0
 
-    def order_answered(self, executor: int, order: int, outcome: Outcome, copies: int) -> None:
-        if (found := self.orders.pop(order, None)) is None:
+    def load_request_answered(self, executor: int, order: int, outcome: Outcome, copies: int) -> None:
+        if (found := self.load_requests.pop(order, None)) is None:
             return
         at, function, sent_ms, timer = found
         if timer is not None and timer.active():
             timer.cancel()
         now = self.now()
         self.counts[f"order {outcome.label}"] += 1
-        self.front_end.order_answered(now, at, function, outcome, copies, now - sent_ms)
+        self.front_end.load_request_answered(now, at, function, outcome, copies, now - sent_ms)
         self._soon()
 
     def probe_answered(self, executor: int, probe: int, outcome: Outcome, load: codec.Load) -> None:
@@ -484,13 +491,13 @@
             self._answer(self.taken[d.request], Answer(FAILED))
         elif verb is Verb.WITHDRAW:
             self._withdraw(self.taken[d.request], d.number)
-        elif verb is Verb.ORDER:
+        elif verb is Verb.PREFETCH:
             self._order(d.executor, d.function, d.number, now)
         elif verb is Verb.UNLOAD:
             self.links[d.executor].unload(self.functions.wire[d.function])
         elif verb is Verb.PROBE:
-            self.order_id += 1
-            self.links[d.executor].probe(self.order_id)
+            self.load_request_id += 1
+            self.links[d.executor].probe(self.load_request_id)
         else:  # no way to the peers yet: counted, not silent
             self.counts[f"not carried out: {verb.value}"] += 1
 
@@ -531,20 +538,22 @@
         self.attempt_ended(out.executor, (t.serial, number), ended or outcome, 0, 0, codec.Load(), "", b"")
 
     def _order(self, executor: int, function: int, copies: int, now: float) -> None:
-        self.order_id += 1
-        id, f = self.order_id, self.known[function]
-        self.orders[id] = executor, function, now, None
+        self.load_request_id += 1
+        id, f = self.load_request_id, self.known[function]
+        self.load_requests[id] = executor, function, now, None
         failed = self.links[executor].order(id, f.name, copies, f.memory_mb, f.lanes)
         if failed is not None:
-            self.order_answered(executor, id, failed, 0)
+            self.load_request_answered(executor, id, failed, 0)
             return
-        timer = self.clock.callLater(self.order_timeout_ms / 1e3, self._order_over, executor, id)
-        self.orders[id] = executor, function, now, timer
+        timer = self.clock.callLater(
+            self.load_request_timeout_ms / 1e3, self._load_request_timed_out, executor, id
+        )
+        self.load_requests[id] = executor, function, now, timer
 
-    def _order_over(self, executor: int, id: int) -> None:
+    def _load_request_timed_out(self, executor: int, id: int) -> None:
         if (link := self.links.get(executor)) is not None:
-            link.forget_order(id)
-        self.order_answered(executor, id, Outcome.TIMEOUT, 0)
+            link.forget_load_request(id)
+        self.load_request_answered(executor, id, Outcome.TIMEOUT, 0)
 
     def _wake_at(self, ms: float, now: float) -> None:
         if self.wake is not None and self.wake.active():
@@ -588,7 +597,7 @@
     def close(self) -> None:
         """Withdraw what is out, leave all executors."""
         self.fail_all()
-        for call in (self.turn, self.wake, *(order[3] for order in self.orders.values())):
+        for call in (self.turn, self.wake, *(order[3] for order in self.load_requests.values())):
             if call is not None and call.active():
                 call.cancel()
         self.turn = self.wake = None
--- a/petrelway/front/link_base.py
+++ b/petrelway/front/link_base.py
@@ -38,7 +38,7 @@
         """Of a attempt that waited here: the client's time left, 0 if it must not go out any more."""
         ...
 
-    def order_answered(self, executor: int, order: int, outcome: Outcome, copies: int) -> None: ...
+    def load_request_answered(self, executor: int, order: int, outcome: Outcome, copies: int) -> None: ...
 
     def probe_answered(self, executor: int, probe: int, outcome: Outcome, load: Load) -> None: ...
 
@@ -66,7 +66,7 @@
         """The connection broke under these questions, by their ids."""
         for id, question in questions:
             if question is Question.LOAD:
-                self.listener.order_answered(self.executor, id, Outcome.RESET, 0)
+                self.listener.load_request_answered(self.executor, id, Outcome.RESET, 0)
             else:
                 self.listener.probe_answered(self.executor, id, Outcome.RESET, NO_LOAD)
 
--- a/petrelway/front/links.py
+++ b/petrelway/front/links.py
@@ -25,7 +25,7 @@
 WAITING_BOUND = 512  # attempts that wait at one link for a connection or for room
 GREETING_MS = 2000.0  # an executor that accepts and says nothing for so long is no executor
 RETRY_LEAST_MS, RETRY_MOST_MS = 50.0, 1000.0
-ORDERS_BOUND = 256  # orders to load and probes out at one link
+LOAD_REQUESTS_BOUND = 256  # orders to load and probes out at one link
 
 
 @implementer(interfaces.IPushProducer)
@@ -91,7 +91,7 @@
         self.backoff = Backoff(chance, RETRY_LEAST_MS, RETRY_MOST_MS)
         self.ledger = Ledger(WAITING_BOUND)
         self.frames: dict[Key, Callable[[float], bytes]] = {}  # of the waiting ones, by the time left in ms
-        self.orders: dict[int, Question] = {}  # orders to load and probes handed over, by id
+        self.load_requests: dict[int, Question] = {}  # orders to load and probes handed over, by id
         self.wire: WorkerProtocol | None = None
         self.ready = False  # the executor has said who it is
         self.closed = False
@@ -174,9 +174,9 @@
     def _ask(self, id: int, question: Question, frame: bytes) -> Outcome | None:
         if self.wire is None or not self.ready:
             return Outcome.UNREACHABLE
-        if self.wire.paused or len(self.orders) >= ORDERS_BOUND:
+        if self.wire.paused or len(self.load_requests) >= LOAD_REQUESTS_BOUND:
             return Outcome.UNSENT
-        self.orders[id] = question
+        self.load_requests[id] = question
         self.wire.transport.write(frame)
         return None
 
@@ -184,9 +184,9 @@
         if self._writable():
             self.wire.transport.write(codec.unload(function))
 
-    def forget_order(self, id: int) -> bool:
+    def forget_load_request(self, id: int) -> bool:
         """Its time is up; False if it has ended."""
-        return self.orders.pop(id, None) is not None
+        return self.load_requests.pop(id, None) is not None
 
     def moved(self, address: str, port: int) -> None:
         """The roster names another place for the same executor."""
@@ -268,11 +268,11 @@
             )
 
     def stood(self, id: int, outcome: int, copies: int) -> None:
-        if self.orders.pop(id, None) is Question.LOAD:
-            self.listener.order_answered(self.executor, id, Outcome(outcome), copies)
+        if self.load_requests.pop(id, None) is Question.LOAD:
+            self.listener.load_request_answered(self.executor, id, Outcome(outcome), copies)
 
     def probed(self, id: int, load: codec.Load) -> None:
-        if self.orders.pop(id, None) is Question.PROBE:
+        if self.load_requests.pop(id, None) is Question.PROBE:
             self.listener.probe_answered(self.executor, id, Outcome.SUCCEEDED, load)
 
     def faulted(self, detail: str) -> None:
@@ -313,8 +313,8 @@
         self.frames.clear()
         for key, outcome in self.ledger.broke():
             self.report_unanswered(key, outcome)
-        orders, self.orders = self.orders, {}
-        self.report_reset(orders.items())
+        load_requests, self.load_requests = self.load_requests, {}
+        self.report_reset(load_requests.items())
 
     def _stop_timer(self) -> None:
         if self.timer is not None:
--- a/petrelway/front/reasons.py
+++ b/petrelway/front/reasons.py
@@ -13,9 +13,9 @@
     if beside:
         return f"a further one beside {beside} overdue"
     again = f", again after {len(t.tried) + len(t.missed)} that failed or missed" if number else ""
-    if f.index in e.orders and len(f.skilled) <= 1:
+    if f.index in e.load_requests and len(f.skilled) <= 1:
         return "nobody is believed to hold it: first by the shared rank, loads" + again
-    if f.index in e.orders:
+    if f.index in e.load_requests:
         return f"none of {len(f.skilled) - 1} skilled had room: it gains the skill and loads" + again
     if f.index in e.resume:
         return f"skilled, least weighted backlog of {len(f.skilled)}" + again
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -99,7 +99,7 @@
     WITHDRAW = "withdraw"
     REJECT = "nack"
     FAIL = "break off"
-    ORDER = "order to load"
+    PREFETCH = "order to load"
     UNLOAD = "unload"
     PROBE = "probe"
     TELL = "tell the peers"
@@ -173,9 +173,9 @@
     """How executors keep and load functions."""
 
     answers_miss: bool
-    orders: bool
+    load_requests: bool
     least_keep_ms: float
-    order_timeout_ms: float
+    load_request_timeout_ms: float
     idle_price: float
 
 
--- a/petrelway/node/links.py
+++ b/petrelway/node/links.py
@@ -133,7 +133,7 @@
             self.used_ms = self.heard_ms
             link.listener.attempt_ended(link.executor, key, outcome, warmth, crowd, NO_LOAD, "", body)
         elif (asked := self.asked.pop(id, None)) is not None and asked[1] is Question.LOAD:
-            link.listener.order_answered(link.executor, asked[0], outcome, copies)
+            link.listener.load_request_answered(link.executor, asked[0], outcome, copies)
         else:  # danger: a late word on one attempt must never end another
             link.room.counts["late answers" if id in self.given_up else "answers to no question"] += 1
 
@@ -326,7 +326,7 @@
         if (wire := self._ready()) is not None:
             wire.transport.write(frames.unload(function))
 
-    def forget_order(self, id: int) -> bool:
+    def forget_load_request(self, id: int) -> bool:
         """Its time is up; False if it has ended."""
         for wire in self.wires:
             for own, (asked, _) in wire.asked.items():
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -106,7 +106,7 @@
             terms.tenant_names,
             terms.zones,
             terms.machines,
-            terms.keeping.order_timeout_ms,
+            terms.keeping.load_request_timeout_ms,
             self.connect,
             chance,
             self.log,
--- a/petrelway/platform/frames.py
+++ b/petrelway/platform/frames.py
@@ -19,7 +19,7 @@
 FROM_FRONT_END, FROM_EXECUTOR = 1, 2
 FIELDS_BOUND = 4096  # bytes of an answer's fields
 BODY_BOUND = 1 << 18  # and of its body; checked before anything is collected
-SEND, WITHDRAW, PROBE, ORDER, UNLOAD = 10, 11, 12, 14, 16
+SEND, WITHDRAW, PROBE, PREFETCH, UNLOAD = 10, 11, 12, 14, 16
 OUTCOMES = {
     100: Outcome.SUCCEEDED,
     102: Outcome.MISS,
@@ -68,7 +68,7 @@
 
 
 def order(id: bytes, function: str, copies: int) -> bytes:
-    return frame(ORDER, id, b"key=%b,count=%d" % (function.encode(), copies))
+    return frame(PREFETCH, id, b"key=%b,count=%d" % (function.encode(), copies))
 
 
 def unload(function: str) -> bytes:
--- a/petrelway/rehearsal/baselines.py
+++ b/petrelway/rehearsal/baselines.py
@@ -78,10 +78,10 @@
             self.todo.append(Decision(Verb.FAIL, request))
         self.done.requests.append(request)
 
-    def order_answered(self, *_: object) -> None:
+    def load_request_answered(self, *_: object) -> None:
         pass
 
-    client_gone = time_passed = part_told = order_answered
+    client_gone = time_passed = part_told = load_request_answered
 
     def may_go(self, *_: object) -> bool:
         return True
--- a/petrelway/rules/checker.py
+++ b/petrelway/rules/checker.py
@@ -96,7 +96,7 @@
         self.received: dict[Request, list[dict]] = defaultdict(list)
         self.by_ask: dict[tuple[str, int, str], list[dict]] = defaultdict(list)
         self.proofs: dict[tuple[Request, int], float] = {}  # attempts that never ran, and when it was said
-        self.orders: dict[tuple[str, str], list[dict]] = defaultdict(list)
+        self.load_requests: dict[tuple[str, str], list[dict]] = defaultdict(list)
         self.told: dict[tuple[str, str], list[dict]] = defaultdict(list)
         self.ups: dict[str, list[dict]] = defaultdict(list)  # by executor
         self.fell: list[dict] = []
@@ -122,7 +122,7 @@
         elif kind in ("answer", "lost", "unanswered", "gone", "unreachable"):
             self.ends.setdefault((f"{line['_source']}\n{line['id']}", line["r"], line["fe"]), line)
         elif kind == "order":
-            self.orders[line["fe"], line["fp"]].append(line)
+            self.load_requests[line["fe"], line["fp"]].append(line)
         elif kind == "told":
             self.told[line["fe"], line["fp"]].append(line)
         elif kind == "up":
@@ -298,7 +298,7 @@
             spells[name].append((t, float("inf")))
         ended[who] = spells
     sends = [line for some in book.received.values() for line in some]
-    sends += [line for some in book.orders.values() for line in some if line["c"] > 0]
+    sends += [line for some in book.load_requests.values() for line in some if line["c"] > 0]
     for line in sends:
         for begin, end in ended.get((line["fe"], line["fp"]), {}).get(line["ex"], ()):
             past = sent(line) - begin - told.drain_grace_ms
@@ -375,7 +375,7 @@
             taken[key[2]].append(ask["t"])
     for times in taken.values():
         times.sort()
-    for (front, _), lines in book.orders.items():
+    for (front, _), lines in book.load_requests.items():
         lines = [line for line in lines if line["c"] > 0 and not book.late_by_itself(line)]
         lines.sort(key=sent)
         times = [sent(line) for line in lines]
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -79,9 +79,9 @@
 
 class HowCopiesAreKept(Strict):
     answers_miss: bool = False
-    orders: bool = True
+    load_requests: bool = field(name="orders", default=True)
     least_keep_ms: Some = 10_000.0
-    order_timeout_ms: Some = 10_000.0
+    load_request_timeout_ms: Some = field(name="order_timeout_ms", default=10_000.0)
     idle_price: Annotated[float, Meta(ge=0)] = 0.0
 
 
--- a/petrelway/standin/executors.py
+++ b/petrelway/standin/executors.py
@@ -95,8 +95,8 @@
         if self.executor.machine is not None:
             self.executor.machine.withdraw(self, serial, number)
 
-    def ordered(self, id, function, copies, memory_mb, lanes) -> None:
-        self.executor.ordered(self, id, function, copies, memory_mb, lanes)
+    def load_requested(self, id, function, copies, memory_mb, lanes) -> None:
+        self.executor.load_requested(self, id, function, copies, memory_mb, lanes)
 
     def unloaded(self, function: str) -> None:
         if self.executor.machine is not None:
--- a/petrelway/standin/life.py
+++ b/petrelway/standin/life.py
@@ -170,7 +170,9 @@
             )
         )
 
-    def ordered(self, wire: Wire, id: int, function: str, copies: int, memory_mb: float, lanes: int) -> None:
+    def load_requested(
+        self, wire: Wire, id: int, function: str, copies: int, memory_mb: float, lanes: int
+    ) -> None:
         self.record.note(
             "order",
             ex=self.post.name,
--- a/petrelway/standin/machine.py
+++ b/petrelway/standin/machine.py
@@ -50,8 +50,13 @@
 
 
 class Loading:
-    def __init__(self, function: str, memory_mb: float, lanes: int, ordered: bool) -> None:
-        self.function, self.memory_mb, self.lanes, self.ordered = function, memory_mb, lanes, ordered
+    def __init__(self, function: str, memory_mb: float, lanes: int, load_requested: bool) -> None:
+        self.function, self.memory_mb, self.lanes, self.load_requested = (
+            function,
+            memory_mb,
+            lanes,
+            load_requested,
+        )
         self.begun = False
 
 
@@ -123,7 +128,7 @@
         self.shared = 0  # of those, on the cores
         self.progress = self.progress_ms = 0.0
         self.serial = 0
-        self.orders: dict[str, list[tuple[object, int, int]]] = {}
+        self.load_requests: dict[str, list[tuple[object, int, int]]] = {}
         self.timer = self.sweeper = None
         self.slowed = 1.0
         self.errors = self.error_rate
@@ -206,7 +211,7 @@
             if not self._want_load(function, memory_mb, lanes, True):
                 self.say_stood(front, id, FULL, len(stand))
                 return
-        self.orders.setdefault(function, []).append((front, id, copies))
+        self.load_requests.setdefault(function, []).append((front, id, copies))
 
     def unload(self, function: str) -> None:
         for copy in [c for c in self.copies.get(function, ()) if not c.busy]:
@@ -216,7 +221,7 @@
         """Its requests stop; what it ordered is still loaded."""
         for job in [j for j in self.jobs.values() if j.work.front is front]:
             self._drop(job)
-        for waiting in self.orders.values():
+        for waiting in self.load_requests.values():
             waiting[:] = [o for o in waiting if o[0] is not front]
 
     def load(self) -> tuple[int, int, int, float]:
@@ -407,10 +412,10 @@
 
     # -- loads and copies
 
-    def _want_load(self, function: str, memory_mb: float, lanes: int, ordered: bool) -> bool:
+    def _want_load(self, function: str, memory_mb: float, lanes: int, load_requested: bool) -> bool:
         if memory_mb > self.memory_mb or len(self.load_queue) >= 2 * self.loads_at_once:
             return False
-        loading = Loading(function, memory_mb, lanes, ordered)
+        loading = Loading(function, memory_mb, lanes, load_requested)
         self.loading.setdefault(function, []).append(loading)
         self.load_queue.append(loading)
         self._start_loads()
@@ -419,7 +424,7 @@
     def _start_loads(self) -> None:
         while self.load_queue and self.loads < self.loads_at_once and not self.dead:
             loading = self.load_queue[0]
-            if not loading.ordered and not self.waiting.get(loading.function):
+            if not loading.load_requested and not self.waiting.get(loading.function):
                 self.load_queue.popleft()  # nothing waits for it any more
                 self._load_over(loading)
                 continue
@@ -468,12 +473,12 @@
         copy.idle_ms = self.now()
         self.copies.setdefault(loading.function, []).append(copy)
         count = len(self.copies[loading.function])
-        waiting = self.orders.get(loading.function, [])
+        waiting = self.load_requests.get(loading.function, [])
         for front, id, _ in [o for o in waiting if o[2] <= count]:
             self.say_stood(front, id, SUCCEEDED, count)
         waiting[:] = [o for o in waiting if o[2] > count]
         if not waiting:
-            self.orders.pop(loading.function, None)
+            self.load_requests.pop(loading.function, None)
         self._dispatch(loading.function)
         self._start_loads()
 
@@ -484,7 +489,7 @@
         f = loading.function
         if not self.loading.get(f):
             count = len(self.copies.get(f, ()))
-            for front, id, _ in self.orders.pop(f, []):
+            for front, id, _ in self.load_requests.pop(f, []):
                 self.say_stood(front, id, ERROR, count)
             if not count:
                 self._turn_away(f, self.fail_outcome, LOAD_FAILED)
--- a/petrelway/standin/memory.py
+++ b/petrelway/standin/memory.py
@@ -58,7 +58,7 @@
     def _again(self, time: float) -> None:
         # a moved call is a new entry in the heap; the old one finds that the time is not its own
         self.time = time
-        self.world.push(time, self.world.next_order(), self)
+        self.world.push(time, self.world.next_load_request(), self)
 
 
 class World:
@@ -71,7 +71,7 @@
         self.ports: dict[int, Port] = {}
         self.free_port = 50_000
 
-    def next_order(self) -> int:
+    def next_load_request(self) -> int:
         self.order += 1
         return self.order
 
--- a/petrelway/terms.py
+++ b/petrelway/terms.py
@@ -192,12 +192,12 @@
         limits.flag("peers", False),
         limits.number("maxRetryAfterS", 1e3, 0.0, SECONDS) if limits.flag("retryAfter") else 0.0,
     )
-    orders = family.flag("loadControl")
+    load_requests = family.flag("loadControl")
     keeping = Keeping(
         family.word("notLoaded", {"miss": True, "load": False}),
-        orders,
+        load_requests,
         family.number("keepS", 1e3, 0.0, SECONDS),
-        family.number("orderTimeoutS", 1e3, LEAST, SECONDS) if orders else 0.0,
+        family.number("orderTimeoutS", 1e3, LEAST, SECONDS) if load_requests else 0.0,
         family.number("idlePrice", default=0.0),
     )
     cold_ms = rules.number("coldS", 1e3, 0.0, SECONDS)
@@ -211,7 +211,7 @@
             cold_ms,
         )
     )
-    window_ms = family.number("loadsWithinS", 1e3, 0.0, SECONDS) if orders else 0.0
+    window_ms = family.number("loadsWithinS", 1e3, 0.0, SECONDS) if load_requests else 0.0
     ration = LoadRation(
         window_ms,
         family.number("loadFloor") if window_ms else 0.0,
--- a/petrelway/wire/codec.py
+++ b/petrelway/wire/codec.py
@@ -52,7 +52,7 @@
 
     def withdrawn(self, serial: int, number: int) -> None: ...
 
-    def ordered(self, id: int, function: str, copies: int, memory_mb: float, lanes: int) -> None: ...
+    def load_requested(self, id: int, function: str, copies: int, memory_mb: float, lanes: int) -> None: ...
 
     def unloaded(self, function: str) -> None: ...
 
@@ -236,7 +236,7 @@
         _amounts(m.memory_mb)
         if m.copies > COPIES_BOUND:
             raise WireFault(f"an order for {m.copies} copies is over the bound of {COPIES_BOUND}")
-        side.ordered(m.id, m.function, m.copies, m.memory_mb, max(1, m.lanes))
+        side.load_requested(m.id, m.function, m.copies, m.memory_mb, max(1, m.lanes))
     elif kind == "unload":
         _names(message.unload.function)
         side.unloaded(message.unload.function)
--- a/petrelway/worker/desk.py
+++ b/petrelway/worker/desk.py
@@ -120,7 +120,7 @@
         self.waiting: dict[str, deque[Ask]] = {}
         self.waits = self.in_work = 0
         self.asks: dict[tuple[Any, int, int], Ask] = {}
-        self.orders: dict[str, list[tuple[Any, int, int, float]]] = {}  # front, id, copies, until
+        self.load_requests: dict[str, list[tuple[Any, int, int, float]]] = {}  # front, id, copies, until
         self.load_ms: dict[str, float] = {}  # by function, averaged
         self.digests: dict[str, str] = {}  # what the store's names point at, as far as told
         self.ids = self.call_ids = 0
@@ -198,10 +198,10 @@
         """Its requests stop; what it ordered is still loaded, but it hears of nothing."""
         for ask in [a for a in self.asks.values() if a.front is front]:
             self._give_up(ask, now)
-        for waiting in self.orders.values():
+        for waiting in self.load_requests.values():
             waiting[:] = [o for o in waiting if o[0] is not front]
 
-    def ordered(
+    def load_requested(
         self, now: float, front: Any, id: int, function: str, copies: int, mb: float, lanes: int
     ) -> None:
         stand = self._copies(function)
@@ -223,7 +223,7 @@
             until = now + self.load_patience_ms
             for load in self.loads.of.get(function, {}).values():
                 load.ordered_until = max(load.ordered_until, until)
-            self.orders.setdefault(function, []).append((front, id, copies, until))
+            self.load_requests.setdefault(function, []).append((front, id, copies, until))
         self.look = True
 
     def unloaded(self, now: float, function: str) -> None:
@@ -263,7 +263,7 @@
         self._idle(copy, now)
         if copy.void:
             self._end(copy, "released anew while it loaded")
-        self._tell_orders(load.function)
+        self._tell_load_requests(load.function)
         self.look = True
 
     def load_failed(self, now: float, id: int, why: str) -> None:
@@ -346,10 +346,10 @@
         for function in list(self.waiting):
             if not self.of.get(function):
                 self._fail_waiting(function, FULL, UNTOLD, FULL, now)
-        for function, waiting in list(self.orders.items()):
+        for function, waiting in list(self.load_requests.items()):
             for front, id, _, _ in waiting:
                 self._stood(front, id, FULL, len(self._copies(function)))
-        self.orders.clear()
+        self.load_requests.clear()
 
     def time_passed(self, now: float) -> None:
         self.wake_ms = math.inf
@@ -562,7 +562,9 @@
         self.budget.give_back(load.id)
         self._fail_waiting(load.function, FULL, UNTOLD, FULL, now)
 
-    def _fail_waiting(self, function: str, outcome: int, warmth: int, order_outcome: int, now: float) -> None:
+    def _fail_waiting(
+        self, function: str, outcome: int, warmth: int, load_request_outcome: int, now: float
+    ) -> None:
         """Nothing is going to serve what waits here: say so, unless a copy or another load may."""
         if self._copies(function) or self.loads.count(function):
             return
@@ -570,20 +572,20 @@
             self.waits -= 1
             self._leave(ask)
             self._turn_away(ask, outcome, now, warmth)
-        for front, id, _, _ in self.orders.pop(function, ()):
-            self._stood(front, id, order_outcome, 0)
+        for front, id, _, _ in self.load_requests.pop(function, ()):
+            self._stood(front, id, load_request_outcome, 0)
 
     def _stood(self, front: Any, id: int, outcome: int, copies: int) -> None:
         self.acts.append(Act(Do.STOOD, front=front, serial=id, outcome=outcome, number=copies))
 
-    def _tell_orders(self, function: str) -> None:
+    def _tell_load_requests(self, function: str) -> None:
         stand = len(self._copies(function))
-        waiting = self.orders.get(function, [])
+        waiting = self.load_requests.get(function, [])
         for front, id, _, _ in [o for o in waiting if o[2] <= stand]:
             self._stood(front, id, SUCCEEDED, stand)
         waiting[:] = [o for o in waiting if o[2] > stand]
         if not waiting:
-            self.orders.pop(function, None)
+            self.load_requests.pop(function, None)
 
     # -- copies
 
@@ -632,12 +634,12 @@
                 self.counts["did not stop"] += 1
                 self.acts.append(Act(Do.END_COPY, copy.id, text="a call did not stop within its grace"))
                 self._lose(copy, now)
-        for function, waiting in list(self.orders.items()):
+        for function, waiting in list(self.load_requests.items()):
             for front, id, _, _ in [o for o in waiting if o[3] <= now]:
                 self._stood(front, id, FULL, len(self._copies(function)))
             waiting[:] = [o for o in waiting if o[3] > now]
             if not waiting:
-                del self.orders[function]
+                del self.load_requests[function]
         self.loads.forget(now)
         self.repeats.forget(now)
         kept = set(self.of) | set(self.loads.of) | set(self.waiting)
--- a/petrelway/worker/serving.py
+++ b/petrelway/worker/serving.py
@@ -122,10 +122,10 @@
     def withdrawn(self, serial: int, number: int) -> None:
         self.worker.tell(self.worker.desk.withdrawn, self, serial, number)
 
-    def ordered(self, id, function, copies, memory_mb, lanes) -> None:
+    def load_requested(self, id, function, copies, memory_mb, lanes) -> None:
         w = self.worker
         w.note("order", fe=self.front, fp=self.process, fn=function, c=copies)
-        w.tell(w.desk.ordered, self, id, function, copies, memory_mb, lanes)
+        w.tell(w.desk.load_requested, self, id, function, copies, memory_mb, lanes)
 
     def unloaded(self, function: str) -> None:
         self.worker.tell(self.worker.desk.unloaded, function)
--- a/tests/compatibility/forms_drill.py
+++ b/tests/compatibility/forms_drill.py
@@ -23,7 +23,7 @@
     "withdraw": Decision(Verb.WITHDRAW, 0, 0, 0, 1),
     "nack": Decision(Verb.REJECT, 0, ms=250.0),
     "break-off": Decision(Verb.FAIL, 0),
-    "order": Decision(Verb.ORDER, -1, 0, 0, 2),
+    "order": Decision(Verb.PREFETCH, -1, 0, 0, 2),
     "unload": Decision(Verb.UNLOAD, -1, 0, 0),
     "probe": Decision(Verb.PROBE, -1, 0),
     "tell": Decision(Verb.TELL, payload=b"\x00peer"),
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -93,8 +93,8 @@
         for x, d in zip((t, u), sends):
             host.end(x, Outcome.MISS, executor=d.executor)
         found = host.pull(5.0)
-        assert verbs(found) == ["ORDER"]  # one for both
-        host.fe.order_answered(host.now, found[0].executor, 0, outcome, copies, 400.0)
+        assert verbs(found) == ["PREFETCH"]  # one for both
+        host.fe.load_request_answered(host.now, found[0].executor, 0, outcome, copies, 400.0)
         after = host.pull()
         assert verbs(after) == [expected, expected]
         if copies:
@@ -196,7 +196,7 @@
     assert not host.fe.functions and not host.fe.requests and list(host.fe.executors) == [1]
     host.end(1, Outcome.SUCCEEDED)  # late, unknown: nothing happens
     host.fe.client_gone(host.now, 1)
-    host.fe.order_answered(host.now, 0, 0, Outcome.SUCCEEDED, 1, 1.0)
+    host.fe.load_request_answered(host.now, 0, 0, Outcome.SUCCEEDED, 1, 1.0)
     assert host.pull() == []
 
 
@@ -215,9 +215,9 @@
         for index in range(crowded):
             e[index].weigh(1, 0.5)
         for index in range(loads):
-            e[7].ordered(90 + index, host.now)
+            e[7].load_requested(90 + index, host.now)
         if own:
-            e[7].ordered(0, host.now)
+            e[7].load_requested(0, host.now)
         host.rich()
         assert (ask(host) is not None) == expected, (crowded, loads, own)
 
@@ -281,8 +281,8 @@
     fleet, ready = fe.fleet, [e for e in fe.executors.values() if e.listing.stage is Stage.READY]
     assert set(fleet.ready) == set(ready) and len(fleet.ready) == len(ready) and fe.ready is fleet.ready
     assert fleet.crowded == sum(e.busy >= e.limit for e in ready)
-    assert fleet.orders == sum(len(e.orders) for e in ready) == sum(fleet.loading.values())
-    assert all(fleet.loading[i] == sum(i in e.orders for e in ready) > 0 for i in fleet.loading)
+    assert fleet.load_requests == sum(len(e.load_requests) for e in ready) == sum(fleet.loading.values())
+    assert all(fleet.loading[i] == sum(i in e.load_requests for e in ready) > 0 for i in fleet.loading)
     for f in fe.functions.values():
         assert f.ranked(fleet) == sorted(ready, key=f.rank, reverse=True)
 
@@ -308,9 +308,9 @@
             for d in host.pull(chance.choice([0.0, 5.0, 60.0, 3000.0])):
                 if d.verb is Verb.SEND:
                     out.setdefault(d.request, []).append(len(out.get(d.request, ())))
-                elif d.verb is Verb.ORDER:
+                elif d.verb is Verb.PREFETCH:
                     end = chance.choice(list(Outcome))
-                    host.fe.order_answered(host.now, d.executor, d.function, end, 1, 300.0)
+                    host.fe.load_request_answered(host.now, d.executor, d.function, end, 1, 300.0)
             for t in chance.sample(sorted(out), min(2, len(out))):
                 for number in out.pop(t):
                     took, warmth = chance.choice([20.0, 2500.0]), chance.choice(list(Warmth))
@@ -410,12 +410,12 @@
         sent = [d for d in host.pull() if d.verb is Verb.SEND and d.request == t]
         for d in sent:
             host.end(t, Outcome.MISS, executor=d.executor, took=2.0, warmth=Warmth.UNTOLD)
-    found += [d for d in host.pull() if d.verb is Verb.ORDER]
+    found += [d for d in host.pull() if d.verb is Verb.PREFETCH]
     return found
 
 
-def orders_of(host):
-    return [(e.listing.executor, f) for e in host.fe.ready for f in e.orders]
+def load_requests_of(host):
+    return [(e.listing.executor, f) for e in host.fe.ready for f in e.load_requests]
 
 
 def test_loads_go_as_fast_as_the_store_gives():
@@ -423,27 +423,29 @@
     host = Host(8, misses=True)
     host.rich()
     lost(host, range(20))
-    assert len(orders_of(host)) == 2  # what is under way while nothing is known
+    assert len(load_requests_of(host)) == 2  # what is under way while nothing is known
     for turn in range(60):  # good loads: more at a time
-        e, f = orders_of(host)[0]
+        e, f = load_requests_of(host)[0]
         host.now += 100.0
-        host.fe.order_answered(host.now, e, f, Outcome.SUCCEEDED, 1, 500.0)
+        host.fe.load_request_answered(host.now, e, f, Outcome.SUCCEEDED, 1, 500.0)
         lost(host, range(20 + 3 * turn, 23 + 3 * turn))
     most = host.fe.loads
     assert most > 3.0 and len(host.fe.under_way) <= most + 1
-    e, f = orders_of(host)[0]
+    e, f = load_requests_of(host)[0]
     host.fe.functions[f].usual_load_ms = 0.0
-    host.fe.order_answered(host.now, e, f, Outcome.SUCCEEDED, 1, 3.0)  # a copy stood: no measure of a load
+    host.fe.load_request_answered(
+        host.now, e, f, Outcome.SUCCEEDED, 1, 3.0
+    )  # a copy stood: no measure of a load
     assert host.fe.loads == most and not host.fe.functions[f].usual_load_ms
     for outcome, took in ((Outcome.SUCCEEDED, 2000.0), (Outcome.ERROR, 10.0)):
         before = host.fe.loads
         host.now += 5000.0
-        e, f = orders_of(host)[0]
-        host.fe.order_answered(host.now, e, f, outcome, 1, took)
+        e, f = load_requests_of(host)[0]
+        host.fe.load_request_answered(host.now, e, f, outcome, 1, took)
         assert host.fe.loads < before
     for _ in range(9):
         host.now += 5000.0
-        host.fe.order_answered(host.now, 0, 0, Outcome.ERROR, 0, 10.0)
+        host.fe.load_request_answered(host.now, 0, 0, Outcome.ERROR, 0, 10.0)
     assert host.fe.loads == 1.0  # one at a time at the least
     host.pull(70_000.0)
     assert not host.fe.wanted and not host.fe.under_way  # what nobody asks for is not wanted for ever
@@ -459,19 +461,19 @@
         if d.verb is Verb.SEND:
             host.end(d.request, Outcome.MISS, executor=d.executor, took=2.0, warmth=Warmth.UNTOLD)
     assert host.pull() == []
-    e, f = orders_of(host)[0]
-    host.fe.order_answered(host.now, e, f, Outcome.SUCCEEDED, 1, 500.0)
-    assert [d.function for d in host.pull() if d.verb is Verb.ORDER] == [7]
+    e, f = load_requests_of(host)[0]
+    host.fe.load_request_answered(host.now, e, f, Outcome.SUCCEEDED, 1, 500.0)
+    assert [d.function for d in host.pull() if d.verb is Verb.PREFETCH] == [7]
 
 
 def test_a_hung_load_does_not_stop_the_others():
     host = Host(8, misses=True)
     host.rich()
     lost(host, range(4))
-    before = orders_of(host)
+    before = load_requests_of(host)
     host.now += 3000.0  # four times a load and more, and nothing heard
     lost(host, [8])
-    assert len(orders_of(host)) > len(before)
+    assert len(load_requests_of(host)) > len(before)
     host.pull(20_000.0)  # nor are they kept for ever, should no answer ever come
     assert not host.fe.under_way
 
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -70,7 +70,7 @@
 
     def load(self, function="f", mb=300.0, lanes=2):
         """A standing copy of a function; its id."""
-        self.desk.ordered(self.now, "o", 99, function, 1, mb, lanes)
+        self.desk.load_requested(self.now, "o", 99, function, 1, mb, lanes)
         (id,) = [a.copy for a in self.pull() if a.do is Do.LOAD]
         self.desk.load_told(self.now, id, f"digest of {function}", mb, lanes)
         self.desk.load_stood(self.now, id)
@@ -82,7 +82,7 @@
     rig = Rig(loads_at_once=1, budget_mb=5000.0)
     rig.take("first", remaining=3000.0)
     assert rig.does() == [(Do.LOAD, 1, "first")]
-    rig.desk.ordered(rig.now, "o", 1, "ordered", 1, 100.0, 1)  # its patience: 4000 ms
+    rig.desk.load_requested(rig.now, "o", 1, "load_requested", 1, 100.0, 1)  # its patience: 4000 ms
     rig.take("late", remaining=3500.0)
     rig.take("urgent", remaining=900.0)
     left = rig.take("left")
@@ -92,7 +92,7 @@
         load = next(iter(rig.desk.loads.under_way))
         rig.desk.load_failed(rig.now, load, "x")
         order += [f for do, _, f in rig.does() if do is Do.LOAD]
-    assert order == ["urgent", "late", "ordered"] and rig.desk.counts["load left out"] == 1
+    assert order == ["urgent", "late", "load_requested"] and rig.desk.counts["load left out"] == 1
 
 
 def test_memory_is_reserved_before_the_fetch():
@@ -167,11 +167,11 @@
     rig = Rig()
     first = rig.take()
     rig.pull()
-    rig.desk.ordered(rig.now, "o", 5, "f", 1, 300.0, 2)
+    rig.desk.load_requested(rig.now, "o", 5, "f", 1, 300.0, 2)
     rig.desk.load_failed(rig.now, 1, "fetch cut")
     assert rig.does() == [] and rig.ends == [(first, MISS, LOAD_FAILED)] and rig.stood == [("o", 5, ERROR, 0)]
     again = rig.take()
-    rig.desk.ordered(rig.now, "o", 6, "f", 1, 300.0, 2)
+    rig.desk.load_requested(rig.now, "o", 6, "f", 1, 300.0, 2)
     assert rig.does() == [] and rig.ends[1:] == [(again, MISS, LOAD_FAILED)] and rig.stood[1][2] == ERROR
     rig.pull(BACK_OFF_MS + 1.0)
     rig.take()
@@ -269,7 +269,7 @@
     rig.pull()
     rig.desk.drain(rig.now)
     refused = rig.take()
-    rig.desk.ordered(rig.now, "o", 7, "h", 1, 100.0, 1)
+    rig.desk.load_requested(rig.now, "o", 7, "h", 1, 100.0, 1)
     rig.pull()
     assert (in_line, FULL, UNTOLD) in rig.ends and (refused, FULL, UNTOLD) in rig.ends
     assert rig.stood[-1][2] == FULL and not rig.desk.empty()
@@ -357,7 +357,7 @@
                     rig.desk.withdrawn(rig.now, front, serial, 0)
                 withdrawn.add(serial)
             elif what == 8:
-                rig.desk.ordered(
+                rig.desk.load_requested(
                     rig.now, "a", rig.serial, chance.choice("fgh"), chance.choice([0, 1, 2]), 200.0, 2
                 )
             elif chance.random() < 0.3:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -80,7 +80,7 @@
         self.day = EmulatedDay(day(length=10, rate=1, fleet={"load_fail": 0.0, "error_rate": 0.0, **changes}))
         self.sim, self.life = self.day.sim, self.day.lives[0]
         self.place = self.day.fronts[1].place
-        self.ends, self.orders = [], []
+        self.ends, self.load_requests = [], []
         self.link = EmulatedLink(
             0, "executor-0", "", 0, "front-1", "p", None, self.place, random.Random(1), self, None
         )
@@ -88,8 +88,8 @@
     def attempt_ended(self, executor, key, outcome, *rest):
         self.ends.append((key[0], outcome))
 
-    def order_answered(self, executor, id, outcome, copies):
-        self.orders.append((id, outcome, copies))
+    def load_request_answered(self, executor, id, outcome, copies):
+        self.load_requests.append((id, outcome, copies))
 
     def send(self, serial=1):
         self.link.send(
@@ -183,13 +183,13 @@
     rig.run(0.01)
     rig.life.die()
     rig.run(0.01)
-    assert rig.orders == [(7, Outcome.RESET, 0), (8, Outcome.RESET, 0)] and rig.ends == []
+    assert rig.load_requests == [(7, Outcome.RESET, 0), (8, Outcome.RESET, 0)] and rig.ends == []
     rig.life.start(cold=True)
     rig.run(1.0)
     rig.send(2)
     assert rig.link.order(9, "model-2", 1, 300.0, 4) is None
     rig.run(4.0)
-    assert rig.ends == [(2, Outcome.SUCCEEDED)] and rig.orders[-1] == (9, Outcome.SUCCEEDED, 1)
+    assert rig.ends == [(2, Outcome.SUCCEEDED)] and rig.load_requests[-1] == (9, Outcome.SUCCEEDED, 1)
     assert len(rig.life.wires) >= 1 and len([w for w in rig.life.wires if w.link is rig.link]) == 1
 
 
--- a/tests/test_forward_clock.py
+++ b/tests/test_forward_clock.py
@@ -51,8 +51,8 @@
                 ended = next(o for o in out if o[:2] == (decision.request, decision.number))
                 out.remove(ended)
                 host.end(*ended[:1], Outcome.WITHDRAWN, *ended[1:])
-            elif decision.verb is Verb.ORDER:
-                host.fe.order_answered(
+            elif decision.verb is Verb.PREFETCH:
+                host.fe.load_request_answered(
                     host.now, decision.executor, decision.function, Outcome.SUCCEEDED, 1, 100.0
                 )
         if out and draw.random() < 0.6:
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -200,7 +200,7 @@
     assert len(rig.sent()) == 1
     rig.end(0, serial, Outcome.MISS, warmth=0)
     rig.step()
-    ((_, id, function, copies),) = rig.said("ordered")
+    ((_, id, function, copies),) = rig.said("load_requested")
     assert (function, copies) == ("f", 1)
     rig.executors[0][0].dataReceived(codec.stood(id, 0, 1))
     rig.step()
@@ -216,8 +216,8 @@
     rig.step()
     rig.end(0, serial, Outcome.MISS, warmth=0)
     rig.step(5100.0)
-    assert rig.host.orders == {} and rig.host.counts["order timeout"] == 1
-    assert rig.host.links[0].orders == {} and rig.kinds(serial) == ["nacked"]
+    assert rig.host.load_requests == {} and rig.host.counts["order timeout"] == 1
+    assert rig.host.links[0].load_requests == {} and rig.kinds(serial) == ["nacked"]
 
 
 def test_links_follow_the_list():
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -13,7 +13,7 @@
 
 class Ears:
     def __init__(self):
-        self.ends, self.orders, self.probes = [], [], []
+        self.ends, self.load_requests, self.probes = [], [], []
 
     def attempt_ended(self, executor, key, outcome, warmth, crowd, load, content_type, body):
         self.ends.append((key, outcome))
@@ -21,8 +21,8 @@
     def left_ms(self, key):
         return 900.0
 
-    def order_answered(self, executor, order, outcome, copies):
-        self.orders.append((order, outcome, copies))
+    def load_request_answered(self, executor, order, outcome, copies):
+        self.load_requests.append((order, outcome, copies))
 
     def probe_answered(self, executor, probe, outcome, load):
         self.probes.append((probe, outcome))
@@ -197,7 +197,7 @@
         codec.stood(2, 0, 1) + codec.stood(2, 0, 1) + codec.stood(4, 0, 1)
     )  # 4 is a probe: no answer to it
     rig.cut()
-    assert rig.ears.orders == [(2, Outcome.SUCCEEDED, 1), (3, Outcome.RESET, 0)]
+    assert rig.ears.load_requests == [(2, Outcome.SUCCEEDED, 1), (3, Outcome.RESET, 0)]
 
 
 def test_a_later_process_behind_a_half_open_link():
--- a/tests/test_node_links.py
+++ b/tests/test_node_links.py
@@ -13,7 +13,7 @@
 
 class Ears:
     def __init__(self):
-        self.ends, self.orders, self.probes = [], [], []
+        self.ends, self.load_requests, self.probes = [], [], []
         self.left = {}  # by key: what is left of the time of one that waited, in ms
 
     def attempt_ended(self, executor, key, outcome, warmth, crowd, load, content_type, body):
@@ -22,8 +22,8 @@
     def left_ms(self, key):
         return self.left.get(key, 900.0)
 
-    def order_answered(self, executor, order, outcome, copies):
-        self.orders.append((order, outcome, copies))
+    def load_request_answered(self, executor, order, outcome, copies):
+        self.load_requests.append((order, outcome, copies))
 
     def probe_answered(self, executor, probe, outcome, load):
         self.probes.append((probe, outcome))
@@ -271,14 +271,14 @@
     rig.send(1, id=own)  # a request whose id meets the order's open id goes elsewhere
     assert pipe.take() == b""
     wire.dataReceived(answer(100, own, b"count=2"))
-    assert rig.ears.orders == [(7, Outcome.SUCCEEDED, 2)] and rig.ended() == []
+    assert rig.ears.load_requests == [(7, Outcome.SUCCEEDED, 2)] and rig.ended() == []
 
 
 def test_orders_end_once_however():
     for end, expected in (
         (lambda rig, wire, own: wire.connectionLost(lost()), [(7, Outcome.RESET, 0)]),
         (lambda rig, wire, own: wire.dataReceived(answer(103, own, b"count=1")), [(7, Outcome.FULL, 1)]),
-        (lambda rig, wire, own: rig.link.forget_order(7), []),
+        (lambda rig, wire, own: rig.link.forget_load_request(7), []),
     ):
         rig = Rig()
         wire, pipe = rig.up()
@@ -286,7 +286,7 @@
         own = commands(pipe.take())[0][1]
         end(rig, wire, own)
         wire.dataReceived(answer(100, own, b"count=2"))
-        assert rig.ears.orders == expected
+        assert rig.ears.load_requests == expected
     rig = Rig()
     assert rig.link.order(8, FUNCTION, 1, 0.0, 0) is Outcome.UNREACHABLE
 
@@ -298,7 +298,7 @@
     for serial in range(links.GIVEN_UP_BOUND):
         assert not pipe.closed
         rig.link.order(serial, FUNCTION, 1, 0.0, 0)
-        rig.link.forget_order(serial)
+        rig.link.forget_load_request(serial)
     assert pipe.closed and rig.room.used == 0
 
 
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -271,7 +271,7 @@
             host.taken,
             host.links,
             host.known,
-            host.orders,
+            host.load_requests,
             host.requests.index,
             host.executors.index,
             host.functions.index,
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -237,8 +237,8 @@
         for member in members:
             if member not in ring:
                 ring.add(member)
-    orders = [[list(one) for one in some] for some in ranked]
-    assert orders[0] == orders[1] == orders[2]
+    load_requests = [[list(one) for one in some] for some in ranked]
+    assert load_requests[0] == load_requests[1] == load_requests[2]
 
 
 def test_equal_salts_stand_in_the_order_of_stable_names():
--- a/tests/test_ranking_front_end.py
+++ b/tests/test_ranking_front_end.py
@@ -65,7 +65,7 @@
     return [f.ranked(host.fe.fleet, 1)[0].listing.executor for f in functions]
 
 
-def check_orders(host):
+def check_load_requests(host):
     """Each function's order is that of the list alone, whatever came and went."""
     ready = [e for e in host.fe.executors.values() if e.listing.stage is Stage.READY]
     for f in host.fe.functions.values():
@@ -177,10 +177,10 @@
             one.pull(40.0)
         if step % 20 == 0:
             for host in hosts:
-                check_orders(host)
+                check_load_requests(host)
     for host, one in zip(hosts, traffic):
         registry.tell(host)
-        check_orders(host)
+        check_load_requests(host)
         one.finish()
         assert [one.finals[request] for request in one.taken] == [1] * len(one.taken)
         assert host.fe.requests == {}
@@ -217,7 +217,7 @@
         host.pull()
     assert model_homes == 40 and held  # nobody else decided, and some homes were gone
     registry.tell(host)
-    check_orders(host)
+    check_load_requests(host)
     for function in range(40, 80):
         host.take(function)
         for d in host.pull():
@@ -271,7 +271,7 @@
     for number in range(4):
         hosts.append(front_end(registry, seed=number, misses=True, ration=(window_ms, free, share)))
         registry.set(range(number * 20, number * 20 + 20), Stage.GONE)
-    ordered = taken = 0
+    load_requested = taken = 0
     for round_ in range(40):
         for number, host in enumerate(hosts):
             host.fe.loads = 100.0  # the ration alone limits
@@ -282,12 +282,12 @@
                 if d.verb is Verb.SEND:
                     assert host.fe.executors[d.executor].listing.stage is Stage.READY
                     host.end(request, Outcome.MISS, executor=d.executor)
-            ordered += sum(d.verb is Verb.ORDER for d in host.pull(20.0))
+            load_requested += sum(d.verb is Verb.PREFETCH for d in host.pull(20.0))
         if round_ == 20:
             for host in hosts:
                 registry.tell(host)
-                check_orders(host)
-    assert 0 < ordered <= len(hosts) * free + share * taken, (ordered, taken)
+                check_load_requests(host)
+    assert 0 < load_requested <= len(hosts) * free + share * taken, (load_requested, taken)
 
 
 def test_a_cell_loses_most_of_its_executors_at_once():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -95,7 +95,9 @@
             for _ in range(5):
                 host.take()
             found = host.pull(400.0)
-            assert found and all(d.executor == 1 for d in found if d.verb in (Verb.SEND, Verb.ORDER)), stage
+            assert found and all(d.executor == 1 for d in found if d.verb in (Verb.SEND, Verb.PREFETCH)), (
+                stage
+            )
 
 
 def test_cold_executor_not_pushed_over():
@@ -116,13 +118,13 @@
     for free, share, expected in ((2.0, 0.0, 2), (0.0, 0.5, 6), (4.0, 0.25, 7)):
         host = Host(12, misses=True, ration=(10000.0, free, share))
         host.fe.loads = 100.0  # the ration alone limits
-        found, ordered = [], 0
+        found, load_requested = [], 0
         for function in range(12):
             found.append((host.take(function), host.pull()))
         for t, decisions in found:
             host.end(t, Outcome.MISS, executor=decisions[0].executor)
-        ordered = sum(d.verb is Verb.ORDER for d in host.pull(300.0))
-        assert ordered == expected, (free, share, ordered)
+        load_requested = sum(d.verb is Verb.PREFETCH for d in host.pull(300.0))
+        assert load_requested == expected, (free, share, load_requested)
 
 
 def test_a_cold_executor_and_hundreds_of_front_ends():
@@ -349,7 +351,7 @@
     host = Host(3, misses=True, ration=(10_000.0, 4.0, 0.2))
     gate = host.fe.gate
     e = host.fe.executors[0]
-    gate.ordered.extend([host.now] * 4)  # the free ones are used up
+    gate.load_requested.extend([host.now] * 4)  # the free ones are used up
     for i in range(200):
         t = host.take(i % 5)
         host.now += 0.25
--- a/tests/test_rules_checker.py
+++ b/tests/test_rules_checker.py
@@ -114,7 +114,7 @@
     return lines
 
 
-def orders(count, requests, gap=100.0):
+def load_requests(count, requests, gap=100.0):
     lines = [order(1000 + i * gap) for i in range(count)]
     for i in range(requests):
         lines += [ask(900 + i, f"o{i}"), end(1500 + i, id=f"o{i}")]
@@ -160,8 +160,8 @@
     push(200, told_first=False),
     push(39, fronts=3),
     push(80, at=21_000.0),  # warm by then
-    orders(3, 4),
-    orders(4, 0, gap=6000.0),
+    load_requests(3, 4),
+    load_requests(4, 0, gap=6000.0),
     [ask(100), end(105, o=""), {"t": 9000.0, "k": "fetch", "fn": "f"}],  # refused: not taken, and answered
     [ask(100), end(101, "unreachable")],
 ]
@@ -252,8 +252,8 @@
     (4, "of work within", push(60)),
     (4, "of work within", push(60, fronts=3)),
     (4, "; it fell", [*push(60), {"t": 10_600.0, "k": "fell", "ex": "e9", "p": "q9"}]),
-    (5, "orders to load", orders(4, 4)),
-    (5, "orders to load", orders(2, 0)),
+    (5, "orders to load", load_requests(4, 4)),
+    (5, "orders to load", load_requests(2, 0)),
 ]
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -57,7 +57,7 @@
                 codec.from_front(payload, self)
 
     def __getattr__(self, name):
-        if name in ("greeted", "sent", "withdrawn", "ordered", "unloaded", "asked"):
+        if name in ("greeted", "sent", "withdrawn", "load_requested", "unloaded", "asked"):
             return lambda *args: self.said.append((name, *args))
         raise AttributeError(name)
 
