--- a/benchmarks/worker.py
+++ b/benchmarks/worker.py
@@ -322,9 +322,9 @@
             f"eviction, 200 packages, room for 20, zipf {zipf}: hit rate "
             + ", ".join(f"{name} {rate:.3f}" for name, rate in rows.items())
         )
-    for copies in (100, 1_000, 10_000):
+    for replicas in (100, 1_000, 10_000):
         keeper = Keeper()
-        for i in range(copies):
+        for i in range(replicas):
             keeper.used(str(i), 0.0)
             keeper.idle(i, str(i), 100.0 + i % 7, 500.0, 0.0)
         began = time.perf_counter()
@@ -332,7 +332,7 @@
             gone = next(iter(keeper.least_first()))
             keeper.evicted(gone)
             keeper.idle(gone, str(gone), 100.0, 500.0, float(i))
-        print(f"eviction decision at {copies} copies: {(time.perf_counter() - began) / 2_000 * 1e6:.1f} us")
+        print(f"eviction decision at {replicas} copies: {(time.perf_counter() - began) / 2_000 * 1e6:.1f} us")
 
 
 PARTS = {"calls": lambda: calls(6400), "loads": loads, "memory": memory, "eviction": eviction}
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -135,7 +135,7 @@
     def send(self, t: Request, e: Executor, listed: int, now: float) -> bool:
         if t.answered or now >= t.answer_deadline_ms or t.sent >= t.permits.attempts:  # rule 1
             return False
-        if t.out and not t.permits.second_copies:
+        if t.out and not t.permits.hedging:
             return False
         if e.listing.stage is not Stage.READY:  # rule 3, without using the grace
             return False
@@ -430,7 +430,7 @@
         f.load_ms += LOAD_GAIN * (min(max(0.0, took_ms), PACE_CLIP * f.load_ms) - f.load_ms)
 
     def load_request_answered(
-        self, now: float, executor: int, function: int, outcome: Outcome, copies: int, took_ms: float
+        self, now: float, executor: int, function: int, outcome: Outcome, replicas: int, took_ms: float
     ) -> None:
         now = self.clock.enter(now)
         self.under_way.pop((executor, function), None)
@@ -439,7 +439,7 @@
             return
         e.loaded(function)
         self._store_seen(f, outcome, took_ms, now)
-        if outcome is Outcome.SUCCEEDED and copies > 0:
+        if outcome is Outcome.SUCCEEDED and replicas > 0:
             self._skilled(e, f, now)
             self._load_seen(f, took_ms)
         self.attention.extend(f.held)
--- a/petrelway/commands/workers.py
+++ b/petrelway/commands/workers.py
@@ -37,7 +37,7 @@
 
     reactor = steady_reactor()
     place, listen, wanted = found["worker"], found["listen"], found["log"]
-    loads, calls, copies = found["loads"], found["calls"], found["copies"]
+    loads, calls, replicas = found["loads"], found["calls"], found["copies"]
     log, _ = logs.start(wanted.form, wanted.level, wanted.file, worker=place.name)
     logs.library_errors(log)
     written = None
@@ -66,9 +66,9 @@
             loads.line,
             calls.slots,
             calls.queue,
-            copies.keep_ms,
-            copies.more,
-            copies.answers_miss,
+            replicas.keep_ms,
+            replicas.more,
+            replicas.answers_miss,
             loads.patience_ms,
             calls.stop_grace_ms,
         ),
--- a/petrelway/console/pages.py
+++ b/petrelway/console/pages.py
@@ -172,12 +172,12 @@
         for field in ("taken", "in time", "fulfilled", "nacked", "broken off", "gone")
     }
     done = sum(all_[k] for k in ("fulfilled", "nacked", "broken off", "gone"))
-    copies = {w: minute["all", "", f"copy {w}"] for w in ("found", "began", "awaited")}
+    replicas = {w: minute["all", "", f"copy {w}"] for w in ("found", "began", "awaited")}
     state = d.own_state()
     return {
         "last minute": all_,
         "service": round(all_["in time"] / max(1, done), 4),
-        "copies": copies,
+        "copies": replicas,
         "series": t.windows.series(now, "taken"),
         "open": state["open triggers"],
         "held": state["held"],
--- a/petrelway/drill/codec.py
+++ b/petrelway/drill/codec.py
@@ -83,11 +83,16 @@
             if request is not None:
                 front_end.client_gone(now, request)
         elif kind == "loadDone":
-            code, delay, executor, fn, copies = item[2:7]
+            code, delay, executor, fn, replicas = item[2:7]
             function = self.functions.index.get(fn)
             if function is not None:
                 front_end.load_request_answered(
-                    now, self._executor(executor), function, _outcome(code), copies or 0, (delay or 0.0) * 1e3
+                    now,
+                    self._executor(executor),
+                    function,
+                    _outcome(code),
+                    replicas or 0,
+                    (delay or 0.0) * 1e3,
                 )
         elif kind not in ("firstByte", "inbox", "probeResult"):  # the module asks for none of these yet
             raise WireFault(f"unknown event {kind!r}")
--- a/petrelway/emulator/links.py
+++ b/petrelway/emulator/links.py
@@ -117,9 +117,9 @@
                 self.link.hear, self, self.link.ended, (work.serial, work.number), outcome, warmth
             )
 
-    def say_stood(self, id: int, outcome: int, copies: int) -> None:
+    def say_stood(self, id: int, outcome: int, replicas: int) -> None:
         if self._speaks():
-            self.back.carry(self.link.hear, self, self.link.stood, id, outcome, copies)
+            self.back.carry(self.link.hear, self, self.link.stood, id, outcome, replicas)
 
     def _speaks(self) -> bool:
         life = self.life
@@ -236,12 +236,12 @@
         if wire.life.machine is not None:
             wire.life.machine.withdraw(wire, serial, number)
 
-    def order(self, id: int, function: str, copies: int, memory_mb: float, lanes: int) -> Outcome | None:
+    def order(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
         wire = self._connected()
         if wire is None:
             return Outcome.UNREACHABLE
         self.load_requests[id] = Question.LOAD
-        wire.say(wire.life.load_requested, wire, id, function, copies, memory_mb, lanes)
+        wire.say(wire.life.load_requested, wire, id, function, replicas, memory_mb, lanes)
         return None
 
     def unload(self, function: str) -> None:
@@ -331,9 +331,9 @@
                 self.executor, key, Outcome(outcome), warmth, 0, NO_LOAD, "application/json", b""
             )
 
-    def stood(self, id: int, outcome: int, copies: int) -> None:
+    def stood(self, id: int, outcome: int, replicas: int) -> None:
         if self.load_requests.pop(id, None) is not None:
-            self.listener.load_request_answered(self.executor, id, Outcome(outcome), copies)
+            self.listener.load_request_answered(self.executor, id, Outcome(outcome), replicas)
 
     def broke(self, wire: Wire) -> None:
         if wire is not self.wire:
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -350,7 +350,7 @@
             return 0.0
         return t.deadline_ms - now if self.front_end.may_go(now, index, number) else 0.0
 
-    def load_request_answered(self, executor: int, order: int, outcome: Outcome, copies: int) -> None:
+    def load_request_answered(self, executor: int, order: int, outcome: Outcome, replicas: int) -> None:
         if (found := self.load_requests.pop(order, None)) is None:
             return
         at, function, sent_ms, timer = found
@@ -358,7 +358,7 @@
             timer.cancel()
         now = self.now()
         self.counts[f"order {outcome.label}"] += 1
-        self.front_end.load_request_answered(now, at, function, outcome, copies, now - sent_ms)
+        self.front_end.load_request_answered(now, at, function, outcome, replicas, now - sent_ms)
         self._soon()
 
     def probe_answered(self, executor: int, probe: int, outcome: Outcome, load: codec.Load) -> None:
@@ -537,11 +537,11 @@
         ended = link.withdraw((t.serial, number), outcome) if link is not None else None
         self.attempt_ended(out.executor, (t.serial, number), ended or outcome, 0, 0, codec.Load(), "", b"")
 
-    def _order(self, executor: int, function: int, copies: int, now: float) -> None:
+    def _order(self, executor: int, function: int, replicas: int, now: float) -> None:
         self.load_request_id += 1
         id, f = self.load_request_id, self.known[function]
         self.load_requests[id] = executor, function, now, None
-        failed = self.links[executor].order(id, f.name, copies, f.memory_mb, f.lanes)
+        failed = self.links[executor].order(id, f.name, replicas, f.memory_mb, f.lanes)
         if failed is not None:
             self.load_request_answered(executor, id, failed, 0)
             return
--- a/petrelway/front/terms.py
+++ b/petrelway/front/terms.py
@@ -25,7 +25,7 @@
 
 
 def permits_of(told: Any) -> Permits:
-    return Permits(told.attempts, told.second_copies, told.withdraw, False, False, told.longest_retry_ms)
+    return Permits(told.attempts, told.hedging, told.withdraw, False, False, told.longest_retry_ms)
 
 
 def make(found: dict[str, Any], before: Terms | None = None) -> Terms:
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -162,7 +162,7 @@
     """What the deployment lets a front end do."""
 
     attempts: int
-    second_copies: bool
+    hedging: bool
     withdraw: bool
     probes: bool
     tell: bool
--- a/petrelway/node/links.py
+++ b/petrelway/node/links.py
@@ -125,7 +125,7 @@
     # -- what the executor says
 
     def answered(
-        self, id: bytes, outcome: Outcome, warmth: Warmth, crowd: int, copies: int, body: bytes
+        self, id: bytes, outcome: Outcome, warmth: Warmth, crowd: int, replicas: int, body: bytes
     ) -> None:
         link = self.link
         if (key := self.open.get(id)) is not None and self.ledger.ended(key):
@@ -133,7 +133,7 @@
             self.used_ms = self.heard_ms
             link.listener.attempt_ended(link.executor, key, outcome, warmth, crowd, NO_LOAD, "", body)
         elif (asked := self.asked.pop(id, None)) is not None and asked[1] is Question.LOAD:
-            link.listener.load_request_answered(link.executor, asked[0], outcome, copies)
+            link.listener.load_request_answered(link.executor, asked[0], outcome, replicas)
         else:  # danger: a late word on one attempt must never end another
             link.room.counts["late answers" if id in self.given_up else "answers to no question"] += 1
 
@@ -296,9 +296,9 @@
                 w.spent = True
                 w.tidy()
 
-    def order(self, id: int, function: str, copies: int, memory_mb: float, lanes: int) -> Outcome | None:
+    def order(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
         """An order to load; an outcome if it could not be handed over."""
-        return self._ask(id, Question.LOAD, lambda own: frames.order(own, function, copies))
+        return self._ask(id, Question.LOAD, lambda own: frames.order(own, function, replicas))
 
     def probe(self, id: int) -> Outcome | None:
         """A probe; an outcome if it could not be handed over."""
--- a/petrelway/platform/frames.py
+++ b/petrelway/platform/frames.py
@@ -40,7 +40,7 @@
     """What an executor says. `copies` is told of orders only."""
 
     def answered(
-        self, id: bytes, outcome: Outcome, warmth: Warmth, crowd: int, copies: int, body: bytes
+        self, id: bytes, outcome: Outcome, warmth: Warmth, crowd: int, replicas: int, body: bytes
     ) -> None: ...
 
     def probed(self, id: bytes, well: bool) -> None: ...
@@ -67,8 +67,8 @@
     return frame(PROBE, id)
 
 
-def order(id: bytes, function: str, copies: int) -> bytes:
-    return frame(PREFETCH, id, b"key=%b,count=%d" % (function.encode(), copies))
+def order(id: bytes, function: str, replicas: int) -> bytes:
+    return frame(PREFETCH, id, b"key=%b,count=%d" % (function.encode(), replicas))
 
 
 def unload(function: str) -> bytes:
@@ -118,7 +118,7 @@
         if code in (WELL, UNWELL):
             self.ears.probed(id, code == WELL)
             return
-        warmth, crowd, copies = Warmth.UNTOLD, 0, 0
+        warmth, crowd, replicas = Warmth.UNTOLD, 0, 0
         try:
             for item in fields.split(b",") if fields else ():
                 name, value = item.split(b"=", 1)
@@ -127,7 +127,7 @@
                 elif name == b"crowd":
                     crowd = int(value)
                 elif name == b"count":
-                    copies = int(value)
+                    replicas = int(value)
         except ValueError as error:
             raise PlatformFault("an answer's fields can't be read") from error
-        self.ears.answered(id, OUTCOMES[code], warmth, crowd, copies, body)
+        self.ears.answered(id, OUTCOMES[code], warmth, crowd, replicas, body)
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -54,7 +54,7 @@
 
     >>> canonical({"request classes": [], "functions": []})
     '{"adoption":{"silent":"serve on"},"tenants":[],"functions":[],"permits":{"longest_retry_ms":1000.0,\
-"second_copies":true,"attempts":3,"withdraw":true},"request classes":[]}'
+"hedging":true,"attempts":3,"withdraw":true},"request classes":[]}'
     """
     some = {"customers": [], "permits": WhatIsPermitted(), "adoption": Adoption(), **found}
     tree = {name: msgspec.to_builtins(some[name]) for name in SECTIONS}
--- a/petrelway/rehearsal/realworkers.py
+++ b/petrelway/rehearsal/realworkers.py
@@ -28,7 +28,7 @@
     time.sleep((float(told.get("work_ms", 0)) + float(told.get("io_ms", 0))) / 1e3)
     return b'{"status":"good"}'
 """
-HELD_MB, COPY_MB = 8, 40.0  # what a copy touches, and what it tells with the interpreter round it
+HELD_MB, REPLICA_MB = 8, 40.0  # what a copy touches, and what it tells with the interpreter round it
 
 
 def unplayable(day: dict[str, Any]) -> list[str]:
@@ -43,7 +43,7 @@
     source.mkdir(parents=True, exist_ok=True)
     (source / "model.py").write_text(ENTRY % HELD_MB)
     for f in functions(plan.day):
-        manifest = {"name": f.name, "version": "1", "entry": "model:run", "memory_mb": COPY_MB}
+        manifest = {"name": f.name, "version": "1", "entry": "model:run", "memory_mb": REPLICA_MB}
         manifest["lanes"] = f.lanes
         (source / "manifest.json").write_text(json.dumps(manifest))
         build(source, folder / f"{f.name}.tar")
--- a/petrelway/settings/days.py
+++ b/petrelway/settings/days.py
@@ -11,7 +11,7 @@
     ColdStart,
     Count,
     TenantShare,
-    HowCopiesAreKept,
+    ReplicaRetention,
     Ms,
     Name,
     Ration,
@@ -194,7 +194,7 @@
     "tariffs": Annotated[list[RequestClassTerms], Meta(min_length=1, max_length=20)],
     "customers": Annotated[list[TenantShare], Meta(min_length=1, max_length=100)],
     "permits": WhatIsPermitted,
-    "keeping": HowCopiesAreKept,
+    "keeping": ReplicaRetention,
     "cold": ColdStart,
     "ration": Ration,
     "troubles": Annotated[list[Trouble], Meta(max_length=100)],
@@ -238,7 +238,7 @@
         ("network", NetworkTerms),
         ("rules", RulesFigures),
         ("permits", WhatIsPermitted),
-        ("keeping", HowCopiesAreKept),
+        ("keeping", ReplicaRetention),
         ("ration", Ration),
     ):
         found.setdefault(name, shape())
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -72,12 +72,12 @@
 
 class WhatIsPermitted(Strict):
     attempts: Annotated[int, Meta(ge=1, le=16)] = field(name="transmissions", default=3)
-    second_copies: bool = True
+    hedging: bool = field(name="second_copies", default=True)
     withdraw: bool = True
     longest_retry_ms: Ms = 1000.0
 
 
-class HowCopiesAreKept(Strict):
+class ReplicaRetention(Strict):
     answers_miss: bool = False
     load_requests: bool = field(name="orders", default=True)
     least_keep_ms: Some = 10_000.0
@@ -151,7 +151,7 @@
     "customers": Annotated[list[TenantShare], Meta(max_length=10_000)],
     "functions": Annotated[list[FunctionEntry], Meta(min_length=1, max_length=100_000)],
     "permits": WhatIsPermitted,
-    "keeping": HowCopiesAreKept,
+    "keeping": ReplicaRetention,
     "cold": ColdStart,
     "ration": Ration,
     "log": LogWanted,
@@ -176,7 +176,7 @@
     found.setdefault("customers", [])
     for name, shape in (
         ("permits", WhatIsPermitted),
-        ("keeping", HowCopiesAreKept),
+        ("keeping", ReplicaRetention),
         ("ration", Ration),
         ("log", LogWanted),
         ("guard", SelfGuard),
--- a/petrelway/settings/worker.py
+++ b/petrelway/settings/worker.py
@@ -41,7 +41,7 @@
     stop_grace_ms: Some = 1_000.0
 
 
-class CopyRules(Strict):
+class ReplicaRules(Strict):
     keep_ms: Some = 10_000.0
     more: bool = True  # another copy when all lanes are taken
     answers_miss: bool = False  # only an order loads
@@ -64,12 +64,12 @@
     "memory": Memory,
     "loads": LoadRules,
     "calls": CallRules,
-    "copies": CopyRules,
+    "copies": ReplicaRules,
     "images": ImageCache,
     "stamped": Annotated[list[MarkWindow], Meta(max_length=100)],
     "log": LogWanted,
 }
-DEFAULTS = {"loads": LoadRules, "calls": CallRules, "copies": CopyRules, "log": LogWanted, "stamped": list}
+DEFAULTS = {"loads": LoadRules, "calls": CallRules, "copies": ReplicaRules, "log": LogWanted, "stamped": list}
 
 
 def read_worker(file: str) -> dict[str, Any]:
--- a/petrelway/standin/executors.py
+++ b/petrelway/standin/executors.py
@@ -95,8 +95,8 @@
         if self.executor.machine is not None:
             self.executor.machine.withdraw(self, serial, number)
 
-    def load_requested(self, id, function, copies, memory_mb, lanes) -> None:
-        self.executor.load_requested(self, id, function, copies, memory_mb, lanes)
+    def load_requested(self, id, function, replicas, memory_mb, lanes) -> None:
+        self.executor.load_requested(self, id, function, replicas, memory_mb, lanes)
 
     def unloaded(self, function: str) -> None:
         if self.executor.machine is not None:
@@ -118,8 +118,8 @@
             codec.ended(work.serial, work.number, outcome, warmth, crowd, load, "application/json", body)
         )
 
-    def say_stood(self, id: int, outcome: int, copies: int) -> None:
-        self.say(codec.stood(id, outcome, copies))
+    def say_stood(self, id: int, outcome: int, replicas: int) -> None:
+        self.say(codec.stood(id, outcome, replicas))
 
     def abort(self) -> None:
         self.transport.abortConnection()
--- a/petrelway/standin/fault_schedule.py
+++ b/petrelway/standin/fault_schedule.py
@@ -90,12 +90,12 @@
         """In how many ms each copy of a datagram arrives; none: it is lost."""
         if self.is_cut(now, one, other):
             return []
-        copies = [self.late_ms(now, one, other)]
+        replicas = [self.late_ms(now, one, other)]
         for s in self._on(now, one, other):
             if s.kind == "loss":
-                copies = [c for c in copies if self.chance.random() >= s.size]
-            elif s.kind == "double" and copies and self.chance.random() < s.size:
-                copies.append(copies[0] + s.extra)
-            elif s.kind == "reorder" and copies and self.chance.random() < s.size:
-                copies[0] += s.extra
-        return copies
+                replicas = [c for c in replicas if self.chance.random() >= s.size]
+            elif s.kind == "double" and replicas and self.chance.random() < s.size:
+                replicas.append(replicas[0] + s.extra)
+            elif s.kind == "reorder" and replicas and self.chance.random() < s.size:
+                replicas[0] += s.extra
+        return replicas
--- a/petrelway/standin/life.py
+++ b/petrelway/standin/life.py
@@ -20,7 +20,7 @@
 
     def say_ended(self, work: Work, outcome: int, warmth: int, crowd: int) -> None: ...
 
-    def say_stood(self, id: int, outcome: int, copies: int) -> None: ...
+    def say_stood(self, id: int, outcome: int, replicas: int) -> None: ...
 
     def abort(self) -> None: ...
 
@@ -171,7 +171,7 @@
         )
 
     def load_requested(
-        self, wire: Wire, id: int, function: str, copies: int, memory_mb: float, lanes: int
+        self, wire: Wire, id: int, function: str, replicas: int, memory_mb: float, lanes: int
     ) -> None:
         self.record.note(
             "order",
@@ -180,10 +180,10 @@
             fe=wire.front,
             fp=wire.process,
             fn=function,
-            c=copies,
+            c=replicas,
         )
         if self.machine is not None:
-            self.machine.order(wire, id, function, copies, memory_mb, lanes)
+            self.machine.order(wire, id, function, replicas, memory_mb, lanes)
 
     def _sent(self, wire: Wire) -> dict[str, float]:
         return {"sent": round(wire.sent_ms - self.epoch_ms, 3)} if wire.sent_ms else {}
@@ -289,8 +289,8 @@
         )
         work.front.say_ended(work, outcome, warmth, crowd)
 
-    def _say_stood(self, front: Wire, id: int, outcome: int, copies: int) -> None:
-        front.say_stood(id, outcome, copies)
+    def _say_stood(self, front: Wire, id: int, outcome: int, replicas: int) -> None:
+        front.say_stood(id, outcome, replicas)
 
     def _note(self, what: str, work: Work) -> None:
         self.record.note(
--- a/petrelway/standin/machine.py
+++ b/petrelway/standin/machine.py
@@ -34,7 +34,7 @@
     until_ms: float
 
 
-class Copy:
+class Replica:
     def __init__(self, function: str, memory_mb: float, lanes: int) -> None:
         self.function, self.memory_mb, self.lanes = function, memory_mb, lanes
         self.busy, self.idle_ms = 0, 0.0
@@ -44,7 +44,7 @@
 class Job:
     def __init__(self, work: Work, warmth: int, crowd: int) -> None:
         self.work, self.warmth, self.crowd = work, warmth, crowd
-        self.copy: Copy | None = None  # runs there
+        self.copy: Replica | None = None  # runs there
         self.on_core = self.over = False
         self.timer = None
 
@@ -115,7 +115,7 @@
         self.cold_share, self.warm_ms, self.started_ms = cold_share, warm_ms, started_ms  # started 0: warm
         self.marks, self.fetch, self.start_ms = marks, fetch, start_ms
         self.say_ended, self.say_stood, self.note = say_ended, say_stood, note
-        self.copies: dict[str, list[Copy]] = {}
+        self.replicas: dict[str, list[Replica]] = {}
         self.loading: dict[str, list[Loading]] = {}
         self.load_queue: deque[Loading] = deque()
         self.loads = 0  # begun
@@ -173,9 +173,9 @@
             self.say_ended(work, FULL, 0, 0)
             return
         f = work.function
-        crowd = 1 + min(29, len(self.waiting.get(f, ())) + sum(c.busy for c in self.copies.get(f, ())))
+        crowd = 1 + min(29, len(self.waiting.get(f, ())) + sum(c.busy for c in self.replicas.get(f, ())))
         warmth = FOUND
-        if not self.copies.get(f):
+        if not self.replicas.get(f):
             warmth = AWAITED if self.loading.get(f) else BEGAN
             if warmth == BEGAN and self.answers_miss:
                 self.say_ended(work, MISS, 0, crowd)
@@ -195,26 +195,28 @@
         if (job := self.jobs.get((front, serial, number))) is not None:
             self._drop(job)
 
-    def order(self, front: object, id: int, function: str, copies: int, memory_mb: float, lanes: int) -> None:
+    def order(
+        self, front: object, id: int, function: str, replicas: int, memory_mb: float, lanes: int
+    ) -> None:
         if self.dead:
             return
         if self.frozen:
-            self.held.append(lambda: self.order(front, id, function, copies, memory_mb, lanes))
+            self.held.append(lambda: self.order(front, id, function, replicas, memory_mb, lanes))
             return
-        stand, loading = self.copies.get(function, []), self.loading.get(function, [])
+        stand, loading = self.replicas.get(function, []), self.loading.get(function, [])
         for copy in stand:
             copy.idle_ms = self.now()
-        if copies <= len(stand):
+        if replicas <= len(stand):
             self.say_stood(front, id, SUCCEEDED, len(stand))
             return
-        for _ in range(copies - len(stand) - len(loading)):
+        for _ in range(replicas - len(stand) - len(loading)):
             if not self._want_load(function, memory_mb, lanes, True):
                 self.say_stood(front, id, FULL, len(stand))
                 return
-        self.load_requests.setdefault(function, []).append((front, id, copies))
+        self.load_requests.setdefault(function, []).append((front, id, replicas))
 
     def unload(self, function: str) -> None:
-        for copy in [c for c in self.copies.get(function, ()) if not c.busy]:
+        for copy in [c for c in self.replicas.get(function, ()) if not c.busy]:
             self._remove(copy)
 
     def front_lost(self, front: object) -> None:
@@ -226,7 +228,7 @@
 
     def load(self) -> tuple[int, int, int, float]:
         """Queue, in hand, loads, share of memory that can't be freed."""
-        pinned = sum(c.memory_mb for cs in self.copies.values() for c in cs if c.busy)
+        pinned = sum(c.memory_mb for cs in self.replicas.values() for c in cs if c.busy)
         pinned += sum(x.memory_mb for xs in self.loading.values() for x in xs if x.begun)
         return (
             self.waits,
@@ -254,9 +256,9 @@
 
     def flush(self, hit: Callable[[str], bool]) -> None:
         """The functions are released anew: their copies and images go void."""
-        for function, copies in list(self.copies.items()):
+        for function, replicas in list(self.replicas.items()):
             if hit(function):
-                for copy in list(copies):
+                for copy in list(replicas):
                     if copy.busy:
                         copy.void = True  # goes when its work is done; takes nothing new
                     else:
@@ -287,14 +289,14 @@
     def _dispatch(self, function: str) -> None:
         queue = self.waiting.get(function)
         while queue and self.in_work < self.slots and not self.frozen:
-            copy = next((c for c in self.copies.get(function, ()) if c.busy < c.lanes and not c.void), None)
+            copy = next((c for c in self.replicas.get(function, ()) if c.busy < c.lanes and not c.void), None)
             if copy is None:
-                usable = [c for c in self.copies.get(function, ()) if not c.void]
+                usable = [c for c in self.replicas.get(function, ()) if not c.void]
                 if self.loading.get(function):
                     return
                 if self.eager and usable or not usable and not self.answers_miss:
                     self._want_load(function, queue[0].work.memory_mb, queue[0].work.lanes, False)
-                elif not self.copies.get(function):  # the copy went while they waited
+                elif not self.replicas.get(function):  # the copy went while they waited
                     self._turn_away(function, MISS, 0)
                 return
             job = queue.popleft()
@@ -303,7 +305,7 @@
         if queue is not None and not queue:
             del self.waiting[function]
 
-    def _run(self, job: Job, copy: Copy) -> None:
+    def _run(self, job: Job, copy: Replica) -> None:
         copy.busy += 1
         job.copy = copy
         self.in_work += 1
@@ -372,7 +374,7 @@
         elif not self.dead:
             self.say_ended(work, outcome, warmth, crowd)
 
-    def _leave(self, job: Job, copy: Copy | None) -> None:
+    def _leave(self, job: Job, copy: Replica | None) -> None:
         job.over = True
         if job.timer is not None and job.timer.active():
             job.timer.cancel()
@@ -382,9 +384,9 @@
             copy.idle_ms = self.now()
             self.in_work -= 1
 
-    def _settle(self, copy: Copy) -> None:
+    def _settle(self, copy: Replica) -> None:
         """A lane and a slot are free: whoever waits may go on, and a load may find room."""
-        if copy.void and not copy.busy and copy in self.copies.get(copy.function, ()):
+        if copy.void and not copy.busy and copy in self.replicas.get(copy.function, ()):
             self._remove(copy)
         self._dispatch(copy.function)
         if self.waits and self.in_work < self.slots:
@@ -442,7 +444,7 @@
     def _make_room(self, memory_mb: float) -> bool:
         if self.used_mb + memory_mb <= self.memory_mb:
             return True
-        idle = sorted((c for cs in self.copies.values() for c in cs if not c.busy), key=lambda c: c.idle_ms)
+        idle = sorted((c for cs in self.replicas.values() for c in cs if not c.busy), key=lambda c: c.idle_ms)
         if self.used_mb - sum(c.memory_mb for c in idle) + memory_mb > self.memory_mb:
             return False
         for copy in idle:
@@ -469,10 +471,10 @@
             return
         self.loads -= 1
         self._load_over(loading)
-        copy = Copy(loading.function, loading.memory_mb, loading.lanes)
+        copy = Replica(loading.function, loading.memory_mb, loading.lanes)
         copy.idle_ms = self.now()
-        self.copies.setdefault(loading.function, []).append(copy)
-        count = len(self.copies[loading.function])
+        self.replicas.setdefault(loading.function, []).append(copy)
+        count = len(self.replicas[loading.function])
         waiting = self.load_requests.get(loading.function, [])
         for front, id, _ in [o for o in waiting if o[2] <= count]:
             self.say_stood(front, id, SUCCEEDED, count)
@@ -488,7 +490,7 @@
         self._load_over(loading)
         f = loading.function
         if not self.loading.get(f):
-            count = len(self.copies.get(f, ()))
+            count = len(self.replicas.get(f, ()))
             for front, id, _ in self.load_requests.pop(f, []):
                 self.say_stood(front, id, ERROR, count)
             if not count:
@@ -508,18 +510,18 @@
         if not rest:
             self.loading.pop(loading.function, None)
 
-    def _remove(self, copy: Copy) -> None:
-        copies = self.copies[copy.function]
-        copies.remove(copy)
-        if not copies:
-            del self.copies[copy.function]
+    def _remove(self, copy: Replica) -> None:
+        replicas = self.replicas[copy.function]
+        replicas.remove(copy)
+        if not replicas:
+            del self.replicas[copy.function]
         self.used_mb -= copy.memory_mb
 
     def _sweep(self) -> None:
         now = self.now()
         if not self.frozen:
-            for copies in list(self.copies.values()):
-                for copy in [c for c in copies if not c.busy and now - c.idle_ms > self.keep_ms]:
+            for replicas in list(self.replicas.values()):
+                for copy in [c for c in replicas if not c.busy and now - c.idle_ms > self.keep_ms]:
                     self._remove(copy)
             self._start_loads()
         self.sweeper = self.clock.callLater(SWEEP_MS / 1e3, self._sweep)
--- a/petrelway/wire/codec.py
+++ b/petrelway/wire/codec.py
@@ -16,7 +16,7 @@
 
 VERSION = 1
 NAME_BOUND = 512  # characters of a name on the wire
-COPIES_BOUND = 16  # copies that one order may ask for
+REPLICAS_BOUND = 16  # copies that one order may ask for
 
 
 class Load(NamedTuple):
@@ -52,7 +52,7 @@
 
     def withdrawn(self, serial: int, number: int) -> None: ...
 
-    def load_requested(self, id: int, function: str, copies: int, memory_mb: float, lanes: int) -> None: ...
+    def load_requested(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> None: ...
 
     def unloaded(self, function: str) -> None: ...
 
@@ -76,7 +76,7 @@
         body: bytes,
     ) -> None: ...
 
-    def stood(self, id: int, outcome: int, copies: int) -> None: ...
+    def stood(self, id: int, outcome: int, replicas: int) -> None: ...
 
     def probed(self, id: int, load: Load) -> None: ...
 
@@ -127,10 +127,10 @@
     return frame(pb.FromFront(withdraw=pb.Withdraw(serial=serial, number=number)).SerializeToString())
 
 
-def order(id: int, function: str, copies: int, memory_mb: float, lanes: int) -> bytes:
+def order(id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> bytes:
     return frame(
         pb.FromFront(
-            order=pb.Order(id=id, function=function, copies=copies, memory_mb=memory_mb, lanes=lanes)
+            order=pb.Order(id=id, function=function, copies=replicas, memory_mb=memory_mb, lanes=lanes)
         ).SerializeToString()
     )
 
@@ -185,8 +185,8 @@
     )
 
 
-def stood(id: int, outcome: int, copies: int) -> bytes:
-    return frame(pb.FromExecutor(stood=pb.Stood(id=id, outcome=outcome, copies=copies)).SerializeToString())
+def stood(id: int, outcome: int, replicas: int) -> bytes:
+    return frame(pb.FromExecutor(stood=pb.Stood(id=id, outcome=outcome, copies=replicas)).SerializeToString())
 
 
 def probed(id: int, load: Load) -> bytes:
@@ -234,8 +234,8 @@
         m = message.order
         _names(m.function)
         _amounts(m.memory_mb)
-        if m.copies > COPIES_BOUND:
-            raise WireFault(f"an order for {m.copies} copies is over the bound of {COPIES_BOUND}")
+        if m.copies > REPLICAS_BOUND:
+            raise WireFault(f"an order for {m.copies} copies is over the bound of {REPLICAS_BOUND}")
         side.load_requested(m.id, m.function, m.copies, m.memory_mb, max(1, m.lanes))
     elif kind == "unload":
         _names(message.unload.function)
--- a/petrelway/worker/copies.py
+++ b/petrelway/worker/copies.py
@@ -16,7 +16,7 @@
 PASSED_ON = ("PATH", "LANG", "LC_ALL", "TMPDIR", "PYTHONHASHSEED")  # of the environment; the rest stays out
 
 
-class CopyProcess(protocol.ProcessProtocol):
+class ReplicaProcess(protocol.ProcessProtocol):
     """One copy. `ready()`, `answered(call, good, body)` and `died(why)` are called, the last one once."""
 
     def __init__(
@@ -37,7 +37,7 @@
         self.timer = clock.callLater(start_timeout_ms / 1e3, self._hangs)
 
     @classmethod
-    def spawn(cls, reactor, folder: str, entry: str, lanes: int, *rest) -> CopyProcess:
+    def spawn(cls, reactor, folder: str, entry: str, lanes: int, *rest) -> ReplicaProcess:
         copy = cls(reactor, *rest)
         environment = {name: os.environ[name] for name in PASSED_ON if name in os.environ}
         root = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
--- a/petrelway/worker/desk.py
+++ b/petrelway/worker/desk.py
@@ -32,7 +32,7 @@
     DROP_LOAD = "drop load"  # copy: fetch or start is of no use any more
     CALL = "call"  # copy, call, body
     STOP_CALL = "stop call"  # copy, call
-    END_COPY = "end copy"  # copy, text: why
+    END_REPLICA = "end copy"  # copy, text: why
     ENDED = "ended"  # front, serial, number, outcome, warmth, crowd, body
     STOOD = "stood"  # front, order, outcome, copies
     WAKE = "wake"  # ms
@@ -80,7 +80,7 @@
         self.over = False  # nobody waits for it
 
 
-class Copy:
+class Replica:
     """A loaded copy: a process that runs `lanes` calls at a time."""
 
     def __init__(self, id: int, function: str, digest: str, lanes: int, load_ms: float) -> None:
@@ -103,7 +103,7 @@
         slots: int,
         queue: int,
         keep_ms: float,
-        more_copies: bool,
+        more_replicas: bool,
         answers_miss: bool,
         load_patience_ms: float,
         stop_grace_ms: float,
@@ -113,10 +113,10 @@
         self.keeper = Keeper()
         self.repeats: Repeats[Ask] = Repeats()
         self.slots, self.queue, self.keep_ms = slots, queue, keep_ms
-        self.more_copies, self.answers_miss = more_copies, answers_miss
+        self.more_replicas, self.answers_miss = more_replicas, answers_miss
         self.load_patience_ms, self.stop_grace_ms = load_patience_ms, stop_grace_ms
-        self.copies: dict[int, Copy] = {}
-        self.of: dict[str, dict[int, Copy]] = {}
+        self.replicas: dict[int, Replica] = {}
+        self.of: dict[str, dict[int, Replica]] = {}
         self.waiting: dict[str, deque[Ask]] = {}
         self.waits = self.in_work = 0
         self.asks: dict[tuple[Any, int, int], Ask] = {}
@@ -174,7 +174,7 @@
         ask.crowd = 1 + min(29, len(self.waiting.get(function, ())) + self._at_work(function))
         if self.waits >= self.queue:
             self._turn_away(ask, FULL, now)
-        elif self._copies(function):
+        elif self._replicas(function):
             ask.warmth = FOUND
             self._wait(ask)
         elif self.loads.count(function):
@@ -202,13 +202,13 @@
             waiting[:] = [o for o in waiting if o[0] is not front]
 
     def load_requested(
-        self, now: float, front: Any, id: int, function: str, copies: int, mb: float, lanes: int
+        self, now: float, front: Any, id: int, function: str, replicas: int, mb: float, lanes: int
     ) -> None:
-        stand = self._copies(function)
+        stand = self._replicas(function)
         for copy in stand:
             if not copy.calls:
                 self._idle(copy, now)
-        if copies <= len(stand):
+        if replicas <= len(stand):
             self._stood(front, id, SUCCEEDED, len(stand))
         elif self.draining:
             self._stood(front, id, FULL, len(stand))
@@ -216,14 +216,14 @@
             self._stood(front, id, ERROR, len(stand))
         else:
             # five front ends that order the same: the loads under way count for all of them
-            for _ in range(copies - len(stand) - self.loads.count(function)):
+            for _ in range(replicas - len(stand) - self.loads.count(function)):
                 if not self._wish(function, mb, lanes, now):
                     self._stood(front, id, FULL, len(stand))
                     return
             until = now + self.load_patience_ms
             for load in self.loads.of.get(function, {}).values():
                 load.ordered_until = max(load.ordered_until, until)
-            self.load_requests.setdefault(function, []).append((front, id, copies, until))
+            self.load_requests.setdefault(function, []).append((front, id, replicas, until))
         self.look = True
 
     def unloaded(self, now: float, function: str) -> None:
@@ -249,16 +249,16 @@
         """The copy of this load is ready for calls."""
         load = self.loads.under_way.get(id)
         if load is None:
-            self.acts.append(Act(Do.END_COPY, id, text="nothing waits for it any more"))
+            self.acts.append(Act(Do.END_REPLICA, id, text="nothing waits for it any more"))
             return
         took = now - load.began_ms
         known = self.load_ms.get(load.function)
         self.load_ms[load.function] = took if known is None else known + LOAD_GAIN * (took - known)
         self.loads.stood(load)
         self.budget.stands(id)
-        copy = Copy(id, load.function, load.digest, load.lanes, self.load_ms[load.function])
+        copy = Replica(id, load.function, load.digest, load.lanes, self.load_ms[load.function])
         copy.void = bool(load.digest) and self.digests.get(load.function) != load.digest
-        self.copies[id] = copy
+        self.replicas[id] = copy
         self.of.setdefault(load.function, {})[id] = copy
         self._idle(copy, now)
         if copy.void:
@@ -279,7 +279,7 @@
 
     def call_ended(self, now: float, copy: int, call: int, good: bool, body: bytes) -> None:
         """A call's own end: its answer, that it raised, or that it stopped."""
-        c = self.copies.get(copy)
+        c = self.replicas.get(copy)
         if c is None or call not in c.calls:
             return
         ask = c.calls.pop(call)
@@ -292,28 +292,28 @@
             self._end(c, "released anew")
         self.look = True
 
-    def copy_died(self, now: float, copy: int, why: str) -> None:
+    def replica_died(self, now: float, copy: int, why: str) -> None:
         """Its process is gone: what ran there may have run."""
         if copy in self.loads.under_way:
             self.load_failed(now, copy, why)
             return
-        if (c := self.copies.get(copy)) is not None:
+        if (c := self.replicas.get(copy)) is not None:
             self.counts["copy died"] += 1
             self._lose(c, now)
 
-    def memory_seen(self, now: float, own_mb: float, copies: dict[int, float]) -> None:
+    def memory_seen(self, now: float, own_mb: float, replicas: dict[int, float]) -> None:
         """What the system says of the worker's own process and of each copy with all that it forked."""
         self.budget.own_mb = own_mb
-        for copy, mb in copies.items():
+        for copy, mb in replicas.items():
             self.budget.saw(copy, mb)
         while True:
             relief = self.budget.relief(self.keeper.least_first())
             for copy in relief.idle:
                 self._evict(copy)
-            if relief.over_user in self.copies:
+            if relief.over_user in self.replicas:
                 self.counts["over-user ended"] += 1
-                c = self.copies[relief.over_user]
-                self.acts.append(Act(Do.END_COPY, c.id, text="took more memory than it told"))
+                c = self.replicas[relief.over_user]
+                self.acts.append(Act(Do.END_REPLICA, c.id, text="took more memory than it told"))
                 self._lose(c, now)
             elif (
                 load := self.loads.under_way.get(
@@ -348,7 +348,7 @@
                 self._fail_waiting(function, FULL, UNTOLD, FULL, now)
         for function, waiting in list(self.load_requests.items()):
             for front, id, _, _ in waiting:
-                self._stood(front, id, FULL, len(self._copies(function)))
+                self._stood(front, id, FULL, len(self._replicas(function)))
         self.load_requests.clear()
 
     def time_passed(self, now: float) -> None:
@@ -377,7 +377,7 @@
         return Act(Do.WAKE, ms=wake)
 
     def report(self) -> Report:
-        pinned = sum(self.budget.held_mb(c.id) for c in self.copies.values() if c.calls)
+        pinned = sum(self.budget.held_mb(c.id) for c in self.replicas.values() if c.calls)
         pinned += sum(map(self.budget.held_mb, self.budget.loading))
         loads = len(self.loads.line) + len(self.loads.under_way)
         seen = self.budget.own_mb + sum(self.budget.seen.values())
@@ -481,11 +481,11 @@
             self.repeats.came(other.mark, other, now, other.stamped_ms)
         return heir
 
-    def _stop(self, copy: Copy, call: int, now: float) -> None:
+    def _stop(self, copy: Replica, call: int, now: float) -> None:
         if call in copy.stopping:
             return
-        if sum(len(c.stopping) for c in self.copies.values()) >= STOP_BOUND:
-            self.acts.append(Act(Do.END_COPY, copy.id, text="too many calls that do not stop"))
+        if sum(len(c.stopping) for c in self.replicas.values()) >= STOP_BOUND:
+            self.acts.append(Act(Do.END_REPLICA, copy.id, text="too many calls that do not stop"))
             self._lose(copy, now)
             return
         copy.stopping[call] = now + self.stop_grace_ms
@@ -500,7 +500,7 @@
             queue = self.waiting[function]
             while queue and self.in_work < self.slots:
                 # the fullest copy with a free lane: others may fall idle and make room
-                free = [c for c in self._copies(function) if len(c.calls) < c.lanes]
+                free = [c for c in self._replicas(function) if len(c.calls) < c.lanes]
                 if not free:
                     self._one_more(function, queue[0], now)
                     break
@@ -508,7 +508,7 @@
             if function in self.waiting and not self.waiting[function]:
                 del self.waiting[function]
 
-    def _call(self, copy: Copy, ask: Ask) -> None:
+    def _call(self, copy: Replica, ask: Ask) -> None:
         self.waits -= 1
         self.in_work += 1
         self.call_ids += 1
@@ -518,8 +518,8 @@
         self.acts.append(Act(Do.CALL, copy.id, ask.call, body=ask.body))
 
     def _one_more(self, function: str, ask: Ask, now: float) -> None:
-        stand, barred = self._copies(function), now < self.loads.barred_until(function)
-        if self.loads.count(function) or stand and (not self.more_copies or self.draining or barred):
+        stand, barred = self._replicas(function), now < self.loads.barred_until(function)
+        if self.loads.count(function) or stand and (not self.more_replicas or self.draining or barred):
             return
         if not stand and self.draining:
             self._fail_waiting(function, FULL, UNTOLD, FULL, now)
@@ -566,7 +566,7 @@
         self, function: str, outcome: int, warmth: int, load_request_outcome: int, now: float
     ) -> None:
         """Nothing is going to serve what waits here: say so, unless a copy or another load may."""
-        if self._copies(function) or self.loads.count(function):
+        if self._replicas(function) or self.loads.count(function):
             return
         for ask in self.waiting.pop(function, ()):
             self.waits -= 1
@@ -575,11 +575,11 @@
         for front, id, _, _ in self.load_requests.pop(function, ()):
             self._stood(front, id, load_request_outcome, 0)
 
-    def _stood(self, front: Any, id: int, outcome: int, copies: int) -> None:
-        self.acts.append(Act(Do.STOOD, front=front, serial=id, outcome=outcome, number=copies))
+    def _stood(self, front: Any, id: int, outcome: int, replicas: int) -> None:
+        self.acts.append(Act(Do.STOOD, front=front, serial=id, outcome=outcome, number=replicas))
 
     def _tell_load_requests(self, function: str) -> None:
-        stand = len(self._copies(function))
+        stand = len(self._replicas(function))
         waiting = self.load_requests.get(function, [])
         for front, id, _, _ in [o for o in waiting if o[2] <= stand]:
             self._stood(front, id, SUCCEEDED, stand)
@@ -589,27 +589,27 @@
 
     # -- copies
 
-    def _copies(self, function: str) -> list[Copy]:
+    def _replicas(self, function: str) -> list[Replica]:
         return [c for c in self.of.get(function, {}).values() if not c.void]
 
     def _at_work(self, function: str) -> int:
         return sum(len(c.calls) for c in self.of.get(function, {}).values())
 
-    def _idle(self, copy: Copy, now: float) -> None:
+    def _idle(self, copy: Replica, now: float) -> None:
         copy.idle_ms = now
         self.keeper.idle(copy.id, copy.function, self.budget.held_mb(copy.id), copy.load_ms, now)
 
     def _evict(self, copy: int) -> None:
         self.counts["evicted"] += 1
         self.keeper.evicted(copy)
-        self._end(self.copies[copy], "its room is needed")
+        self._end(self.replicas[copy], "its room is needed")
 
-    def _end(self, copy: Copy, why: str) -> None:
-        self.acts.append(Act(Do.END_COPY, copy.id, text=why))
+    def _end(self, copy: Replica, why: str) -> None:
+        self.acts.append(Act(Do.END_REPLICA, copy.id, text=why))
         self._remove(copy)
 
-    def _remove(self, copy: Copy) -> None:
-        del self.copies[copy.id]
+    def _remove(self, copy: Replica) -> None:
+        del self.replicas[copy.id]
         mine = self.of[copy.function]
         del mine[copy.id]
         if not mine:
@@ -618,7 +618,7 @@
         self.budget.give_back(copy.id)
         self.look = True
 
-    def _lose(self, copy: Copy, now: float) -> None:
+    def _lose(self, copy: Replica, now: float) -> None:
         """A copy is gone with its calls."""
         self._remove(copy)
         self.in_work -= len(copy.calls)
@@ -627,16 +627,16 @@
 
     def _tidy(self, now: float) -> None:
         self.tidy_ms = now + TIDY_MS
-        for copy in list(self.copies.values()):
+        for copy in list(self.replicas.values()):
             if not copy.calls and now - copy.idle_ms > self.keep_ms:
                 self._end(copy, "idle")
             elif any(until <= now for until in copy.stopping.values()):
                 self.counts["did not stop"] += 1
-                self.acts.append(Act(Do.END_COPY, copy.id, text="a call did not stop within its grace"))
+                self.acts.append(Act(Do.END_REPLICA, copy.id, text="a call did not stop within its grace"))
                 self._lose(copy, now)
         for function, waiting in list(self.load_requests.items()):
             for front, id, _, _ in [o for o in waiting if o[3] <= now]:
-                self._stood(front, id, FULL, len(self._copies(function)))
+                self._stood(front, id, FULL, len(self._replicas(function)))
             waiting[:] = [o for o in waiting if o[3] > now]
             if not waiting:
                 del self.load_requests[function]
--- a/petrelway/worker/serving.py
+++ b/petrelway/worker/serving.py
@@ -17,7 +17,7 @@
 from ..sockets.listening import listen_tcp
 from ..wire import codec
 from ..wire.framing import Frames, WireFault
-from .copies import CopyProcess
+from .replicas import ReplicaProcess
 from .desk import Act, Desk, Do
 from .fetching import FetchFault, Store
 from .images import Images
@@ -122,10 +122,10 @@
     def withdrawn(self, serial: int, number: int) -> None:
         self.worker.tell(self.worker.desk.withdrawn, self, serial, number)
 
-    def load_requested(self, id, function, copies, memory_mb, lanes) -> None:
+    def load_requested(self, id, function, replicas, memory_mb, lanes) -> None:
         w = self.worker
-        w.note("order", fe=self.front, fp=self.process, fn=function, c=copies)
-        w.tell(w.desk.load_requested, self, id, function, copies, memory_mb, lanes)
+        w.note("order", fe=self.front, fp=self.process, fn=function, c=replicas)
+        w.tell(w.desk.load_requested, self, id, function, replicas, memory_mb, lanes)
 
     def unloaded(self, function: str) -> None:
         self.worker.tell(self.worker.desk.unloaded, function)
@@ -165,7 +165,7 @@
         self.started_ms = reactor.seconds() * 1e3
         self.desk = desk(self.started_ms)
         self.links: list[FrontLink] = []
-        self.copies: dict[int, CopyProcess] = {}
+        self.replicas: dict[int, ReplicaProcess] = {}
         self.loading: dict[int, defer.Deferred] = {}
         self.counts: Counter[str] = Counter()
         self.turn = self.wake = None
@@ -239,10 +239,10 @@
                     )
                 )
         elif a.do is Do.CALL:
-            if (copy := self.copies.get(a.copy)) is not None and not copy.gone:
+            if (copy := self.replicas.get(a.copy)) is not None and not copy.gone:
                 copy.call(a.call, a.body)
         elif a.do is Do.STOP_CALL:
-            if (copy := self.copies.get(a.copy)) is not None:
+            if (copy := self.replicas.get(a.copy)) is not None:
                 copy.stop_call(a.call)
         elif a.do is Do.STOOD:
             if a.front.connected:
@@ -253,9 +253,9 @@
         elif a.do is Do.DROP_LOAD:
             if (load := self.loading.pop(a.copy, None)) is not None:
                 load.cancel()
-            self._end_copy(a.copy, "its load is dropped")
-        elif a.do is Do.END_COPY:
-            self._end_copy(a.copy, a.text)
+            self._end_replica(a.copy, "its load is dropped")
+        elif a.do is Do.END_REPLICA:
+            self._end_replica(a.copy, a.text)
         elif self.wake is None or not self.wake.active() or a.ms < self.wake_ms:
             if self.wake is not None and self.wake.active():
                 self.wake.cancel()
@@ -289,7 +289,7 @@
         return laid
 
     def _spawn(self, id: int, function: str, folder: Path, entry: str, lanes: int) -> None:
-        self.copies[id] = CopyProcess.spawn(
+        self.replicas[id] = ReplicaProcess.spawn(
             self.reactor,
             str(folder),
             entry,
@@ -320,24 +320,24 @@
         self.tell(self.desk.load_failed, id, kind)
 
     def _died(self, id: int, function: str, why: str) -> None:
-        copy = self.copies.pop(id)
+        copy = self.replicas.pop(id)
         self.images.leave(f"copy-{id}")
         if self.loading.pop(id, None) is not None:
             self.log.warning("load failed", function=function, kind=why, reason=copy.tail())
             self.tell(self.desk.load_failed, id, why)
         else:
-            if id in self.desk.copies:
+            if id in self.desk.replicas:
                 self.log.warning("copy died", function=function, kind=why, output=copy.tail())
-            self.tell(self.desk.copy_died, id, why)
+            self.tell(self.desk.replica_died, id, why)
 
-    def _end_copy(self, id: int, why: str) -> None:
-        if (copy := self.copies.get(id)) is not None:
+    def _end_replica(self, id: int, why: str) -> None:
+        if (copy := self.replicas.get(id)) is not None:
             copy.end(why)
 
     # -- memory and names
 
     def _measure(self) -> None:
-        pids = {id: copy.pid for id, copy in self.copies.items() if copy.pid}
+        pids = {id: copy.pid for id, copy in self.replicas.items() if copy.pid}
         done = self.in_thread(measure, pids)
         done.addCallbacks(
             lambda seen: self.tell(self.desk.memory_seen, *seen),
@@ -348,7 +348,7 @@
     @defer.inlineCallbacks
     def _recheck(self):
         """Do the store's names still point where our copies came from?"""
-        for function in sorted({c.function for c in self.desk.copies.values()}):
+        for function in sorted({c.function for c in self.desk.replicas.values()}):
             try:
                 named = yield self.store.named(function)
             except (FetchFault, defer.CancelledError, defer.TimeoutError):
@@ -384,13 +384,13 @@
                 call.cancel()
         for load in list(self.loading.values()):
             load.cancel()
-        for copy in list(self.copies.values()):
+        for copy in list(self.replicas.values()):
             copy.end("the worker leaves")
         for link in list(self.links):
             link.transport.unregisterProducer()
             link.transport.loseConnection()
         yield self.store.close()
-        while self.copies:
+        while self.replicas:
             pause = defer.Deferred()
             self.reactor.callLater(0.02, pause.callback, None)
             yield pause
--- a/tests/doubles.py
+++ b/tests/doubles.py
@@ -108,8 +108,8 @@
     def withdrawn(self, serial, number):
         self.said.append(("withdrawn", serial, number))
 
-    def load_requested(self, id, function, copies, memory_mb, lanes):
-        self.said.append(("load_requested", id, function, copies))
+    def load_requested(self, id, function, replicas, memory_mb, lanes):
+        self.said.append(("load_requested", id, function, replicas))
 
     def unloaded(self, function):
         self.said.append(("unloaded", function))
--- a/tests/test_alike.py
+++ b/tests/test_alike.py
@@ -68,7 +68,7 @@
         w = self.worker
         w.reactor, w.name, w.machine, w.process, w.started_ms = self.clock, "executor-0", "quad", "q", 0.0
         w.desk = Desk(self.clock.seconds() * 1e3, 700.0, 2, 8, 32, 3, 3000.0, False, misses, 9000.0, 500.0)
-        w.links, w.copies, w.loading, w.keyed, w.log, w.record = [], {}, {}, {}, Log(), None
+        w.links, w.replicas, w.loading, w.keyed, w.log, w.record = [], {}, {}, {}, Log(), None
         w.turn = w.wake = w.emptied = None
         w.closing = False
         w.counts = Counter()
@@ -80,7 +80,7 @@
 
     def _load(self, id, function):
         w = self.worker
-        w.copies[id] = FakeCopy(self, id)
+        w.replicas[id] = FakeReplica(self, id)
         done = (w.desk.load_stood, id) if self.good else (w.desk.load_failed, id, "fetch")
         self.clock.callLater(LOAD_S, w.tell, *done)
         return defer.Deferred()
@@ -89,7 +89,7 @@
         return FrontLink(self.worker)
 
 
-class FakeCopy:
+class FakeReplica:
     gone = False
 
     def __init__(self, rig, id):
@@ -138,8 +138,8 @@
             )
         )
 
-    def order(self, id, copies=1, function="f", mb=300.0):
-        return self.say(codec.order(id, function, copies, mb, 2))
+    def order(self, id, replicas=1, function="f", mb=300.0):
+        return self.say(codec.order(id, function, replicas, mb, 2))
 
     def run(self, seconds):
         for _ in range(int(seconds * 200)):
@@ -163,8 +163,8 @@
     def ended(self, serial, number, outcome, warmth, crowd, load, content_type, body):
         self.heard.append((serial, outcome, warmth))
 
-    def stood(self, id, outcome, copies):
-        self.heard.append(("stood", id, outcome, copies))
+    def stood(self, id, outcome, replicas):
+        self.heard.append(("stood", id, outcome, replicas))
 
     def probed(self, id, load):
         self.heard.append(("probed", id, load.queue, load.in_hand, load.loads))
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -86,7 +86,7 @@
 
 def test_miss_orders_once_and_waits():
     # what the order answers -> what follows
-    for outcome, copies, expected in ((Outcome.SUCCEEDED, 1, "SEND"), (Outcome.FULL, 0, "SEND")):
+    for outcome, replicas, expected in ((Outcome.SUCCEEDED, 1, "SEND"), (Outcome.FULL, 0, "SEND")):
         host = Host(3, misses=True)
         t, u = host.take(), host.take()
         sends = host.pull()
@@ -94,10 +94,10 @@
             host.end(x, Outcome.MISS, executor=d.executor)
         found = host.pull(5.0)
         assert verbs(found) == ["PREFETCH"]  # one for both
-        host.fe.load_request_answered(host.now, found[0].executor, 0, outcome, copies, 400.0)
+        host.fe.load_request_answered(host.now, found[0].executor, 0, outcome, replicas, 400.0)
         after = host.pull()
         assert verbs(after) == [expected, expected]
-        if copies:
+        if replicas:
             assert {d.executor for d in after} == {found[0].executor}
 
 
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -21,7 +21,7 @@
             "slots": 8,
             "queue": 6,
             "keep_ms": 5000.0,
-            "more_copies": False,
+            "more_replicas": False,
             "answers_miss": False,
             "load_patience_ms": 4000.0,
             "stop_grace_ms": 300.0,
@@ -110,9 +110,9 @@
     rig.take("busy")
     rig.pull()
     rig.take("new", 300.0)
-    assert rig.does() == [(Do.END_COPY, idle, -1), (Do.LOAD, 3, "new")]
+    assert rig.does() == [(Do.END_REPLICA, idle, -1), (Do.LOAD, 3, "new")]
     rig.take("more", 400.0)
-    assert rig.does() == [] and busy in rig.desk.copies  # a copy at work never goes for room
+    assert rig.does() == [] and busy in rig.desk.replicas  # a copy at work never goes for room
 
 
 def test_over_users():
@@ -136,7 +136,7 @@
         rig.pull()
         rig.desk.memory_seen(rig.now, 0.0, dict(zip(ids, seen, strict=True)))
         acts = rig.pull()
-        assert [ids.index(a.copy) for a in acts if a.do is Do.END_COPY] == going, seen
+        assert [ids.index(a.copy) for a in acts if a.do is Do.END_REPLICA] == going, seen
         assert any(a.do is Do.DROP_LOAD for a in acts) == load_goes
         ended = {s for s, o, _ in rig.ends if o == ERROR}
         assert len(ended) == sum(works[i] for i in going)  # its requests may have run
@@ -180,7 +180,7 @@
 
 def test_lanes_queue_and_more_copies():
     for more, loads in ((True, 1), (False, 0)):
-        rig = Rig(more_copies=more, queue=3)
+        rig = Rig(more_replicas=more, queue=3)
         rig.load(lanes=2)
         serials = [rig.take() for _ in range(6)]
         acts = rig.pull()
@@ -191,7 +191,7 @@
     for remaining in (3000.0, 3000.0, 3000.0):
         rig.take(remaining=remaining)
     assert sum(do is Do.CALL for do, *_ in rig.does()) == 2 and rig.desk.waits == 1
-    first = next(iter(rig.desk.copies.values())).calls
+    first = next(iter(rig.desk.replicas.values())).calls
     rig.desk.call_ended(rig.now, 1, next(iter(first)), True, b"x")
     assert [do for do, *_ in rig.does()] == [Do.CALL]
 
@@ -232,7 +232,7 @@
     rig.desk.withdrawn(rig.now, "a", serial, 0)
     assert [do for do, *_ in rig.does()] == [Do.STOP_CALL]
     acts = rig.pull(900.0)  # it ignores the stop
-    assert [a.do for a in acts] == [Do.END_COPY] and "stop" in acts[0].text
+    assert [a.do for a in acts] == [Do.END_REPLICA] and "stop" in acts[0].text
     assert rig.ends == [(beside, ERROR, FOUND)] and rig.desk.in_work == 0
     rig = Rig()
     rig.load()
@@ -241,7 +241,7 @@
     assert Do.STOP_CALL in [do for do, *_ in rig.does(600.0)]
     rig.desk.call_ended(rig.now, 1, 1, False, b"")
     rig.pull(1000.0)
-    assert rig.ends == [] and rig.desk.copies and rig.desk.empty()
+    assert rig.ends == [] and rig.desk.replicas and rig.desk.empty()
 
 
 def test_released_anew():
@@ -254,12 +254,12 @@
     acts = rig.pull()
     assert [a.do for a in acts] == [Do.LOAD]  # the old copy takes nothing new
     rig.desk.call_ended(rig.now, id, 1, True, b"")
-    assert [(a.do, a.copy) for a in rig.pull()] == [(Do.END_COPY, id)]
+    assert [(a.do, a.copy) for a in rig.pull()] == [(Do.END_REPLICA, id)]
     rig.desk.load_told(rig.now, 2, "another", 300.0, 2)
     rig.desk.released_anew(rig.now, "f", "a third")  # and once more while it loads
     rig.desk.load_stood(rig.now, 2)
     acts = rig.pull()
-    assert (Do.END_COPY, 2) in [(a.do, a.copy) for a in acts] and any(a.do is Do.LOAD for a in acts)
+    assert (Do.END_REPLICA, 2) in [(a.do, a.copy) for a in acts] and any(a.do is Do.LOAD for a in acts)
 
 
 def test_drain():
@@ -318,7 +318,7 @@
         chance = random.Random(seed)
         rig = Rig(
             budget_mb=900.0,
-            more_copies=chance.random() < 0.5,
+            more_replicas=chance.random() < 0.5,
             answers_miss=chance.random() < 0.3,
             queue=5,
             slots=4,
@@ -348,7 +348,7 @@
             elif what in (5, 6) and calls:
                 copy, call = calls.pop(chance.randrange(len(calls)))
                 if chance.random() < 0.1:
-                    rig.desk.copy_died(rig.now, copy, "x")
+                    rig.desk.replica_died(rig.now, copy, "x")
                 else:
                     rig.desk.call_ended(rig.now, copy, call, chance.random() < 0.8, b"x")
             elif what == 7 and owed:
@@ -361,7 +361,9 @@
                     rig.now, "a", rig.serial, chance.choice("fgh"), chance.choice([0, 1, 2]), 200.0, 2
                 )
             elif chance.random() < 0.3:
-                rig.desk.memory_seen(rig.now, 20.0, {c: chance.uniform(50.0, 500.0) for c in rig.desk.copies})
+                rig.desk.memory_seen(
+                    rig.now, 20.0, {c: chance.uniform(50.0, 500.0) for c in rig.desk.replicas}
+                )
             for act in rig.pull(chance.choice([0.0, 20.0, 400.0])):
                 if act.do is Do.CALL:
                     calls.append((act.copy, act.call))
@@ -374,8 +376,8 @@
                 and not list(desk.keeper.least_first())
             ), seed
             assert desk.waits == sum(map(len, desk.waiting.values())) <= 5
-            assert desk.in_work == sum(len(c.calls) for c in desk.copies.values()) <= 4
-            assert set(desk.budget.told) == set(desk.copies) | set(desk.loads.under_way)
+            assert desk.in_work == sum(len(c.calls) for c in desk.replicas.values()) <= 4
+            assert set(desk.budget.told) == set(desk.replicas) | set(desk.loads.under_way)
         rig.pull(6000.0)
         serials = [s for s, _, _ in rig.ends]
         assert len(serials) == len(set(serials)) and set(serials) <= owed, seed
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -88,8 +88,8 @@
     def attempt_ended(self, executor, key, outcome, *rest):
         self.ends.append((key[0], outcome))
 
-    def load_request_answered(self, executor, id, outcome, copies):
-        self.load_requests.append((id, outcome, copies))
+    def load_request_answered(self, executor, id, outcome, replicas):
+        self.load_requests.append((id, outcome, replicas))
 
     def send(self, serial=1):
         self.link.send(
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -200,8 +200,8 @@
     assert len(rig.sent()) == 1
     rig.end(0, serial, Outcome.MISS, warmth=0)
     rig.step()
-    ((_, id, function, copies),) = rig.said("load_requested")
-    assert (function, copies) == ("f", 1)
+    ((_, id, function, replicas),) = rig.said("load_requested")
+    assert (function, replicas) == ("f", 1)
     rig.executors[0][0].dataReceived(codec.stood(id, 0, 1))
     rig.step()
     ((_, again, number, _),) = rig.sent()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -21,8 +21,8 @@
     def left_ms(self, key):
         return 900.0
 
-    def load_request_answered(self, executor, order, outcome, copies):
-        self.load_requests.append((order, outcome, copies))
+    def load_request_answered(self, executor, order, outcome, replicas):
+        self.load_requests.append((order, outcome, replicas))
 
     def probe_answered(self, executor, probe, outcome, load):
         self.probes.append((probe, outcome))
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -55,7 +55,7 @@
             fetch=fetch,
             start_ms=lambda f: start_ms,
             say_ended=lambda w, o, warmth, crowd: self.ends.append((w.serial, o, warmth, self.at())),
-            say_stood=lambda front, id, o, copies: self.stood.append((id, o, copies)),
+            say_stood=lambda front, id, o, replicas: self.stood.append((id, o, replicas)),
             note=lambda what, w: self.notes.append((what, w.serial)),
         )
         self.began = self.clock.seconds()
@@ -139,22 +139,22 @@
     rig.run(300)
     rig.take("h")  # room is made: the one idle longest goes
     rig.run(300)
-    assert sorted(rig.m.copies) == ["g", "h"] and rig.m.used_mb == 600.0
+    assert sorted(rig.m.replicas) == ["g", "h"] and rig.m.used_mb == 600.0
     rig.take("big", memory=900.0)
     rig.take("bigger", memory=2000.0)
     assert rig.ends[-1][1] == FULL  # never fits
     rig.run(2600)
-    assert rig.m.used_mb == 0.0 and rig.m.copies == {}  # idle past the keep time
+    assert rig.m.used_mb == 0.0 and rig.m.replicas == {}  # idle past the keep time
 
 
 def test_one_more_copy_only_where_eager():
-    for eager, copies in ((True, 2), (False, 1)):
+    for eager, replicas in ((True, 2), (False, 1)):
         rig = Rig(eager=eager)
         rig.take(lanes=1, work=1000.0)
         rig.run(200)
         rig.take(lanes=1, work=1000.0)
         rig.run(200)
-        assert len(rig.m.copies["f"]) == copies
+        assert len(rig.m.replicas["f"]) == replicas
 
 
 def test_orders():
@@ -168,7 +168,7 @@
     rig.run(300)
     assert rig.stood[1:] == [(1, SUCCEEDED, 2)] and rig.ends[-1][1:3] == (SUCCEEDED, AWAITED)
     rig.m.unload("f")
-    assert rig.m.copies == {}
+    assert rig.m.replicas == {}
     for id in range(3, 12):
         rig.m.order("front", id, f"f{id}", 1, 300.0, 2)
     assert FULL in [o for _, o, _ in rig.stood]
@@ -205,7 +205,7 @@
     assert rig.ends == [] and rig.m.in_work == 0
     rig.take("g", until=50.0)  # its load goes on when it has left
     rig.run(300)
-    assert "g" in rig.m.copies and rig.ends == []
+    assert "g" in rig.m.replicas and rig.ends == []
 
 
 def test_cold_slow_frozen_and_void():
@@ -235,7 +235,7 @@
     rig.run(150)
     assert [s for s, *_ in rig.ends] == [1, 2]  # what was out of time by then is not done
     rig.m.flush(lambda f: True)
-    assert rig.m.copies == {}
+    assert rig.m.replicas == {}
 
 
 def test_stamped_repeats_and_one_tenant_throttled():
--- a/tests/test_worker_process.py
+++ b/tests/test_worker_process.py
@@ -229,8 +229,8 @@
     def ask(self, *args, **kw):
         return self.end(self.send(*args, **kw))
 
-    def order(self, id, function="f", copies=1, memory=60.0):
-        self.sock.sendall(codec.order(id, function, copies, memory, 2))
+    def order(self, id, function="f", replicas=1, memory=60.0):
+        self.sock.sendall(codec.order(id, function, replicas, memory, 2))
 
     def report(self):
         self.sock.sendall(codec.probe(1))
@@ -264,8 +264,8 @@
     rig.package()
     pid = int(rig.front.ask("fork")[2])
     assert psutil.pid_exists(pid)
-    copies = rig.children()
-    assert len(copies) >= 2
+    replicas = rig.children()
+    assert len(replicas) >= 2
     rig.shelf.fetch_ms = 60000.0
     rig.package("slow")
     rig.front.send(function="slow")
@@ -274,7 +274,7 @@
     rig.process.kill()
     rig.process.wait()
     gone = lambda p: not p.is_running() or p.status() == psutil.STATUS_ZOMBIE  # noqa: E731
-    until(lambda: all(gone(p) for p in copies), "a child is left")
+    until(lambda: all(gone(p) for p in replicas), "a child is left")
     rig.shelf.fetch_ms = 0.0
     rig.start()  # the next process does away with the half one and keeps the whole one
     assert rig.front.ask()[0] == SUCCEEDED and rig.shelf.counts["fetches"] == 2
@@ -358,7 +358,7 @@
     fronts = [rig.link() for _ in range(5)]
     rig.shelf.fetch_ms = 300.0
     for i, front in enumerate(fronts):
-        front.order(i, copies=2)
+        front.order(i, replicas=2)
     assert [front.hear("stood", i)[2:] for i, front in enumerate(fronts)] == [(SUCCEEDED, 2)] * 5
     assert rig.shelf.counts["fetches"] == 1 and len(rig.children()) == 2
 
