--- a/benchmarks/capacity_front_end_calls.py
+++ b/benchmarks/capacity_front_end_calls.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from capacity_front_end_rig import DEADLINE_MS, QUIET_MS, REPEATS, FrontEndRig, cpu_us, listing, traced_bytes
+from capacity_front_end_rig import DEADLINE_MS, QUIET_MS, REPEATS, FrontEndRig, cpu_us, endpoint, traced_bytes
 
 from petrelway.capacity.slopes import Evidence, Slope, fit
 from petrelway.interface import Decision, Outcome, Stage, Verb, Warmth
@@ -154,7 +154,7 @@
         drained = self.draining >= 0
         executor = self.draining if drained else self.executors.randrange(EXECUTORS)
         self.draining = -1 if drained else executor
-        line = listing(executor, Stage.READY if drained else Stage.DRAINING)
+        line = endpoint(executor, Stage.READY if drained else Stage.DRAINING)
         self.input(Work.CONTROL, self.front_end.executors_listed, [line], False)
         self.later(self.rig.now_ms + LIST_CHANGE_MS, self.change_list)
 
--- a/benchmarks/capacity_front_end_fleet.py
+++ b/benchmarks/capacity_front_end_fleet.py
@@ -16,7 +16,7 @@
     ZONES,
     FrontEndRig,
     cpu_us,
-    listings,
+    endpoints,
     median_points,
     new_front_end,
     traced_bytes,
@@ -26,7 +26,7 @@
 from petrelway.capacity.slopes import Evidence, Slope, fit
 from petrelway.front.host import Host
 from petrelway.interface import Stage
-from petrelway.listing import Line
+from petrelway.endpoint import Line
 from petrelway.wire import codec
 
 DIMENSION = "executor listed"
@@ -168,7 +168,7 @@
                 1.0,
                 0.0,
             )
-            for line in listings(executors)
+            for line in endpoints(executors)
         ],
         True,
     )
@@ -182,7 +182,7 @@
 
 def whole_list_us(executors: int) -> float:
     """A first list."""
-    lines = listings(executors)
+    lines = endpoints(executors)
     rig = FrontEndRig()
     return cpu_us(rig.take_list, lines, True)
 
@@ -190,7 +190,7 @@
 def same_list_us(executors: int) -> float:
     """The same list once more, as after a reconnect to its source."""
     rig = FrontEndRig(executors)
-    lines = listings(executors)
+    lines = endpoints(executors)
     return cpu_us(rig.take_list, lines, True)
 
 
--- a/benchmarks/capacity_front_end_rig.py
+++ b/benchmarks/capacity_front_end_rig.py
@@ -20,7 +20,7 @@
     Decision,
     Idempotency,
     Keeping,
-    Listing,
+    Endpoint,
     LoadRation,
     Outcome,
     Permits,
@@ -58,16 +58,16 @@
     )
 
 
-def listing(executor: int, stage: Stage = Stage.READY) -> Listing:
+def endpoint(executor: int, stage: Stage = Stage.READY) -> Endpoint:
     """A line of the list: an executor that started long ago, in one of several zones and cells."""
     zone, cell = executor % ZONES, executor // CELL_EXECUTORS
-    return Listing(
+    return Endpoint(
         executor, f"executor-{executor:06d}", zone, executor % MACHINE_KINDS, cell, stage, 1.0, 0.0
     )
 
 
-def listings(count: int) -> list[Listing]:
-    return [listing(executor) for executor in range(count)]
+def endpoints(count: int) -> list[Endpoint]:
+    return [endpoint(executor) for executor in range(count)]
 
 
 def cpu_us(action: Callable, *args) -> float:
@@ -101,7 +101,7 @@
         self.released = Released([], [], [])  # by the last turn
         self.front_end = new_front_end()
         if executors:
-            self.take_list(listings(executors), True)
+            self.take_list(endpoints(executors), True)
 
     def turn(self) -> list[Decision]:
         """What the module decides now; the wake that it asks for and what it releases are kept."""
@@ -114,12 +114,12 @@
         self.released = self.front_end.released()
         return decisions
 
-    def take_list(self, lines: list[Listing], complete: bool) -> None:
+    def take_list(self, lines: list[Endpoint], complete: bool) -> None:
         self.front_end.executors_listed(self.now_ms, lines, complete)
         self.turn()
 
     def change_stage(self, executor: int, stage: Stage) -> None:
-        self.take_list([listing(executor, stage)], False)
+        self.take_list([endpoint(executor, stage)], False)
 
     def name_function(self, function: int) -> None:
         self.front_end.function_named(self.now_ms, function, f"function-{function:06d}", 300.0, 4, 0.0)
--- a/benchmarks/capacity_ranking.py
+++ b/benchmarks/capacity_ranking.py
@@ -26,7 +26,7 @@
 from petrelway import choice_state, ranking
 from petrelway.choice import FrontEnd, Function
 from petrelway.emulator.day import EmulatedDay
-from petrelway.interface import Listing, Stage, Verb
+from petrelway.interface import Endpoint, Stage, Verb
 from petrelway.rehearsal.report import percentile, sums
 from petrelway.rules.checker import figures, judge
 
@@ -114,7 +114,7 @@
 def listed(executors: int) -> FrontEnd:
     front_end = new_front_end()
     lines = [
-        Listing(e, f"executor-{e:08x}", e % 3, 0, e // 40, Stage.READY, 1.0, 0.0) for e in range(executors)
+        Endpoint(e, f"executor-{e:08x}", e % 3, 0, e // 40, Stage.READY, 1.0, 0.0) for e in range(executors)
     ]
     front_end.executors_listed(START_MS, lines, True)
     return front_end
@@ -183,7 +183,7 @@
         load = Counter(dict.fromkeys(front_end.executors, 0))
         for number in range(WIDTH_LOAD * WIDTH_EXECUTORS):
             function = Function(number, f"function-{number}", 4, 0.0, START_MS)
-            load[function.ranked(front_end.fleet, 1)[0].listing.executor] += 1
+            load[function.ranked(front_end.fleet, 1)[0].endpoint.executor] += 1
     variance = statistics.pvariance(load.values()) - WIDTH_LOAD  # Poisson's
     return max(0.0, variance) ** 0.5 / WIDTH_LOAD
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -23,7 +23,7 @@
     Tenant,
     Idempotency,
     Keeping,
-    Listing,
+    Endpoint,
     LoadRation,
     Outcome,
     Permits,
@@ -64,7 +64,7 @@
             LoadRation(0.0, 0.0, 0.0),
         )
         self.started = [0.0] * executors
-        self.call("executors_listed", self.now, [self.listing(e) for e in range(executors)], True)
+        self.call("executors_listed", self.now, [self.endpoint(e) for e in range(executors)], True)
         for f in range(FUNCTIONS):
             self.call("function_named", self.now, f, f"function-{f}", 300.0, 4, 0.0)
         self.weights = [1.0 / (f + 1) ** 1.1 for f in range(FUNCTIONS)]
@@ -75,8 +75,8 @@
         self.run(START_MS + WARM_UP_MS + seconds * 1000.0)
         self.us = self.spent / (self.requests - began) * 1e6
 
-    def listing(self, e: int) -> Listing:
-        return Listing(e, f"executor-{e}", e % 3, 0, e // 4, Stage.READY, 1.0, self.started[e])
+    def endpoint(self, e: int) -> Endpoint:
+        return Endpoint(e, f"executor-{e}", e % 3, 0, e // 4, Stage.READY, 1.0, self.started[e])
 
     def later(self, at: float, what: str, *args) -> None:
         self.order += 1
@@ -106,7 +106,7 @@
         some = self.chance.sample(range(self.count), 1)
         for e in some:
             self.started[e], self.has[e] = self.now, {}
-        self.call("executors_listed", self.now, [self.listing(e) for e in some], False)
+        self.call("executors_listed", self.now, [self.endpoint(e) for e in some], False)
         self.later(self.now + 1000.0, "replace")
 
     def wake(self) -> None:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -124,7 +124,7 @@
 
     def _paced(self, e, t, took_ms, now):
         super()._paced(e, t, took_ms, now)
-        usual = self.kind_pace.get(e.listing.machine, 1.0)
+        usual = self.kind_pace.get(e.endpoint.machine, 1.0)
         if took_ms > max(0.4 * t.request_class.latency_objective_ms, 2.5 * t.size * usual):
             self._cut(self, self.out, now)
 
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -26,7 +26,7 @@
     Decision,
     Idempotency,
     Keeping,
-    Listing,
+    Endpoint,
     LoadRation,
     Outcome,
     Part,
@@ -137,13 +137,13 @@
             return False
         if t.out and not t.permits.hedging:
             return False
-        if e.listing.stage is not Stage.READY:  # rule 3, without using the grace
+        if e.endpoint.stage is not Stage.READY:  # rule 3, without using the grace
             return False
-        if (t.ran or t.out) and not self._repeat(t, e.listing, now):
+        if (t.ran or t.out) and not self._repeat(t, e.endpoint, now):
             return False
         return self._warm_enough(t, e, listed, now)
 
-    def _repeat(self, t: Request, at: Listing, now: float) -> bool:
+    def _repeat(self, t: Request, at: Endpoint, now: float) -> bool:
         """Rule 2: a request that may have run goes out again only where that does no harm."""
         request_class = t.request_class
         if request_class.idempotency is not Idempotency.KEYED:
@@ -177,7 +177,7 @@
         self.told_rate = rate
 
     def is_cold(self, e: Executor, now: float) -> bool:
-        return now < e.listing.started_ms + self.cold.warm_ms
+        return now < e.endpoint.started_ms + self.cold.warm_ms
 
     def _warm_enough(self, t: Request, e: Executor, listed: int, now: float) -> bool:
         """Rule 4: the sum over all front ends is unknown, but if each stays under the least present
@@ -187,12 +187,12 @@
         if not self.is_cold(e, now):
             return True
         cold = self.cold
-        grown = max(0.0, now - e.listing.started_ms) / cold.warm_ms
+        grown = max(0.0, now - e.endpoint.started_ms) / cold.warm_ms
         part = COLD_MARGIN * cold.multiple * (cold.start_share + (1.0 - cold.start_share) * grown)
         # danger: a restarted front end has no history; then the tenants' shares, which the fleet can
         # carry, are split evenly over front ends and executors, and halved
         told = 0.5 * self.share(now) * self.rate(now) / max(1, listed)
-        rate = part * max(self.usual.get(e.listing.machine, 0.0), told)
+        rate = part * max(self.usual.get(e.endpoint.machine, 0.0), told)
         if rate <= 0.0:
             return False
         span = max(cold.span_ms, 1.0 / rate)
@@ -209,7 +209,7 @@
         ration = self.ration
         self.forget(now)
         left = ration.free + ration.share * len(self.taken) - len(self.load_requested)
-        ready = e.listing.stage is Stage.READY  # rule 3
+        ready = e.endpoint.stage is Stage.READY  # rule 3
         return ready and (ration.window_ms <= 0.0 or left >= 1.0)  # rule 5
 
     def forget(self, now: float) -> None:
@@ -255,23 +255,23 @@
         self.mean_ms = self.mean_size = self.quick_ms = UNHEARD_SIZE_MS
         heapq.heappush(self.due, (now + TIDY_MS * self.chance.random(), -1))
 
-    def executors_listed(self, now: float, listings: Iterable[Listing], complete: bool) -> None:
+    def executors_listed(self, now: float, endpoints: Iterable[Endpoint], complete: bool) -> None:
         now = self.clock.enter(now)
         named = set()
-        for told in listings:
-            listing = told._replace(started_ms=self._started(told.started_ms))
-            named.add(listing.executor)
-            e = self.executors.get(listing.executor)
+        for told in endpoints:
+            endpoint = told._replace(started_ms=self._started(told.started_ms))
+            named.add(endpoint.executor)
+            e = self.executors.get(endpoint.executor)
             if e is None:
-                e = self.executors[listing.executor] = Executor(listing, now, self.fleet, LIMIT_START)
-            elif listing.started_ms > e.listing.started_ms:
+                e = self.executors[endpoint.executor] = Executor(endpoint, now, self.fleet, LIMIT_START)
+            elif endpoint.started_ms > e.endpoint.started_ms:
                 self._unskilled(e, *map(self.functions.__getitem__, e.resume))
                 e.restart(LIMIT_START)
-            e.list(listing, now)
+            e.list(endpoint, now)
         if complete:
             for index, e in self.executors.items():
-                if index not in named and e.listing.stage is not Stage.GONE:
-                    e.list(e.listing._replace(stage=Stage.GONE), now)
+                if index not in named and e.endpoint.stage is not Stage.GONE:
+                    e.list(e.endpoint._replace(stage=Stage.GONE), now)
         for f in self.functions.values():
             self.attention.extend(f.held)
 
@@ -340,10 +340,10 @@
         if outcome not in NEVER_RAN:
             t.ran.append(sent.run())
         t.answered = t.answered or finished
-        if sent.sent_ms >= e.listing.started_ms or not e.listing.started_ms:
+        if sent.sent_ms >= e.endpoint.started_ms or not e.endpoint.started_ms:
             self._learn(now, t, sent, outcome, took_ms, warmth)
         if outcome not in (Outcome.SUCCEEDED, Outcome.WITHDRAWN, Outcome.MISS):
-            t.tried.add(e.listing.executor)
+            t.tried.add(e.endpoint.executor)
         self.attention.append(request)
 
     def _learn(
@@ -369,7 +369,7 @@
                 self._load_seen(f, took_ms - t.size * self.pace(e, now))
         elif outcome is Outcome.MISS:
             self._unskilled(e, f)
-            t.missed.add(e.listing.executor)
+            t.missed.add(e.endpoint.executor)
             if self.keeping.answers_miss and self.keeping.load_requests and warmth is not Warmth.LOAD_FAILED:
                 self.wanted[f.index] = e
         elif outcome is Outcome.FULL:
@@ -382,7 +382,7 @@
     def _doubted(self, e: Executor, now: float) -> None:
         """Evidence against an executor, whatever the cause: silence, errors, no connection. It counts as
         a slow answer; one piece proves little, since a load or a dear request looks the same."""
-        most = FAILED * AILING_PACE * self.kind_pace.get(e.listing.machine, 1.0)
+        most = FAILED * AILING_PACE * self.kind_pace.get(e.endpoint.machine, 1.0)
         e.pace, e.paced_ms = min(FAILED * self.pace(e, now), most), now
 
     def _untimely(self, now: float) -> bool:
@@ -392,7 +392,7 @@
 
     def _paced(self, e: Executor, t: Request, took_ms: float, now: float) -> None:
         f = t.function
-        pace, kind = took_ms / max(1.0, t.size), e.listing.machine
+        pace, kind = took_ms / max(1.0, t.size), e.endpoint.machine
         usual = self.kind_pace.setdefault(kind, pace)
         self.kind_pace[kind] = usual * (1.0 + (KIND_RISE if pace > usual else -KIND_FALL))
         e.pace, e.paced_ms = self.pace(e, now) if e.pace else min(pace, PACE_CLIP * usual), now
@@ -486,7 +486,7 @@
         """The same process of an executor started at another time than was told before."""
         self.clock.enter(now)
         if e := self.executors.get(executor):
-            e.listing = e.listing._replace(started_ms=self._started(started_ms))
+            e.endpoint = e.endpoint._replace(started_ms=self._started(started_ms))
 
     def _started(self, started_ms: float) -> float:
         return self.clock.place(started_ms) if started_ms else 0.0
@@ -616,7 +616,7 @@
 
     def _fit(self, t: Request, e: Executor, now: float) -> bool:
         """Whether the rules allow it, and nothing speaks against this executor for this request."""
-        index, known = e.listing.executor, t.function.index in e.resume
+        index, known = e.endpoint.executor, t.function.index in e.resume
         if e.busy >= e.limit or now < e.refused.get(t.tenant, now) or index in t.tried:
             return False
         if t.kind in e.errors and self._errors(e, t.kind, now) > ERRORS:
@@ -684,7 +684,7 @@
 
     def pace(self, e: Executor, now: float) -> float:
         """What was seen fades to the machine kind's pace, which an unheard executor takes."""
-        usual = self.kind_pace.get(e.listing.machine, 1.0)
+        usual = self.kind_pace.get(e.endpoint.machine, 1.0)
         return usual + (e.pace - usual) * math.exp((e.paced_ms - now) / PACE_SPAN_MS) if e.pace else usual
 
     def backlog(self, e: Executor, now: float) -> float:
@@ -718,7 +718,7 @@
             e.cold_sends.append(now)
         t.function.held.pop(t.index, None)
         heapq.heappush(self.due, (due_ms, t.index))
-        return Decision(Verb.SEND, t.index, e.listing.executor)
+        return Decision(Verb.SEND, t.index, e.endpoint.executor)
 
     def _second(self, t: Request, now: float) -> Decision | None:
         """A further attempt beside one that is overdue, if the budget has one."""
@@ -744,14 +744,14 @@
         ):
             return None
         e.load_requested(f.index, now)
-        self.under_way[e.listing.executor, f.index] = now + OVERDUE_FACTOR * f.load_ms
+        self.under_way[e.endpoint.executor, f.index] = now + OVERDUE_FACTOR * f.load_ms
         self.gate.load_requested.append(now)
-        return Decision(Verb.PREFETCH, executor=e.listing.executor, function=f.index, number=1)
+        return Decision(Verb.PREFETCH, executor=e.endpoint.executor, function=f.index, number=1)
 
     def _tidy(self, now: float) -> None:
         """Forget what is stale, so that memory stays bounded; renew what is counted over the fleet."""
         self.gate.forget(now)
-        self.warm = dict(Counter(e.listing.machine for e in self.ready if not self.gate.is_cold(e, now)))
+        self.warm = dict(Counter(e.endpoint.machine for e in self.ready if not self.gate.is_cold(e, now)))
         for e in self.executors.values():
             for index in [i for i, at in e.resume.items() if now - at > self.keeping.least_keep_ms]:
                 self._unskilled(e, self.functions[index])
@@ -765,7 +765,7 @@
         gone = [
             i
             for i, e in self.executors.items()
-            if e.listing.stage is Stage.GONE
+            if e.endpoint.stage is Stage.GONE
             and not e.out
             and now > e.told_ms + self.keeping.load_request_timeout_ms
         ]
--- a/petrelway/choice_state.py
+++ b/petrelway/choice_state.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from .hash_ring import HASH_BITS, HashRing
-from .interface import Listing, Permits, Released, Stage, RequestClass
+from .interface import Endpoint, Permits, Released, Stage, RequestClass
 
 SALT_BYTES = HASH_BITS // 8  # a salt is a hash of a stable name, the same at all front ends
 
@@ -48,8 +48,8 @@
 
     def run(self) -> Run:
         """Where it went, by the present list."""
-        listing = self.executor.listing
-        return Run(listing.zone, listing.cell, self.sent_ms)
+        endpoint = self.executor.endpoint
+        return Run(endpoint.zone, endpoint.cell, self.sent_ms)
 
 
 class Deadlines(NamedTuple):
@@ -102,14 +102,14 @@
 class Executor:
     """What is known of one executor process."""
 
-    def __init__(self, listing: Listing, now: float, fleet: Fleet, limit: float) -> None:
-        self.listing = listing
+    def __init__(self, endpoint: Endpoint, now: float, fleet: Fleet, limit: float) -> None:
+        self.endpoint = endpoint
         self.fleet = fleet
         self.listed = False  # counted in the fleet ...
         self.crowded = False  # ... and there among those at their limit
         self.load_requests: dict[int, float] = {}  # function -> when ordered
         self.told_ms = now  # when the present stage was first told
-        self.stable = listing.stable
+        self.stable = endpoint.stable
         self.salt = salt_of(self.stable)
         self.out: dict[tuple[int, int], Attempt] = {}
         self.busy = 0  # those of them that do not wait for a load
@@ -128,12 +128,12 @@
         for index in tuple(self.load_requests):
             self.loaded(index)
 
-    def list(self, listing: Listing, now: float) -> None:
+    def list(self, endpoint: Endpoint, now: float) -> None:
         """What the newest list says of it."""
-        if listing.stage is not self.listing.stage:
+        if endpoint.stage is not self.endpoint.stage:
             self.told_ms = now
-        self.listing = listing
-        self.fleet.list(self, listing.stage is Stage.READY)
+        self.endpoint = endpoint
+        self.fleet.list(self, endpoint.stage is Stage.READY)
 
     def weigh(self, more: int, limit: float = 0.0) -> None:
         """So many more own requests that wait for no load, and another limit if one is given."""
@@ -235,10 +235,10 @@
     def _skilled(self, executor: Executor, function: FunctionState, now: float) -> None:
         """This executor has this function."""
         executor.resume[function.index] = now
-        function.skilled[executor.listing.executor] = executor
+        function.skilled[executor.endpoint.executor] = executor
 
     def _unskilled(self, executor: Executor, *functions: FunctionState) -> None:
         """This executor has these functions no more."""
         for function in functions:
             executor.resume.pop(function.index, None)
-            function.skilled.pop(executor.listing.executor, None)
+            function.skilled.pop(executor.endpoint.executor, None)
--- a/petrelway/console/explainer.py
+++ b/petrelway/console/explainer.py
@@ -14,11 +14,11 @@
 
 def executor(fe: FrontEnd, e: Executor, now: float, name: str, zone: str) -> dict[str, Any]:
     """What is known of one executor, and why it is avoided. Times in ms."""
-    usual = fe.kind_pace.get(e.listing.machine, 0.0)
+    usual = fe.kind_pace.get(e.endpoint.machine, 0.0)
     pace = fe.pace(e, now)
     avoided = []
-    if e.listing.stage is not Stage.READY:
-        avoided.append(f"{e.listing.stage.value}: nothing new is sent")
+    if e.endpoint.stage is not Stage.READY:
+        avoided.append(f"{e.endpoint.stage.value}: nothing new is sent")
     if e.busy >= e.limit:
         avoided.append(f"at its limit: {e.busy} own triggers in flight, {e.limit:.1f} allowed")
     if usual and pace > 2.0 * usual:
@@ -33,7 +33,7 @@
     return {
         "executor": name,
         "hall": zone,
-        "stage": e.listing.stage.value,
+        "stage": e.endpoint.stage.value,
         "pace": round(pace, 3),
         "usual pace": round(usual, 3),
         "backlog ms": round(fe.backlog(e, now), 1),
@@ -51,7 +51,7 @@
     fe: FrontEnd, names: dict[int, str], zones: dict[int, str], now: float
 ) -> Iterator[dict[str, Any]]:
     for index, e in list(fe.executors.items()):
-        yield executor(fe, e, now, names.get(index, str(index)), zones.get(e.listing.zone, ""))
+        yield executor(fe, e, now, names.get(index, str(index)), zones.get(e.endpoint.zone, ""))
 
 
 def function(fe: FrontEnd, index: int, name: str, names: dict[int, str], now: float) -> dict[str, Any]:
--- a/petrelway/drill/codec.py
+++ b/petrelway/drill/codec.py
@@ -5,7 +5,7 @@
 from base64 import b64encode
 
 from ..indices import Ids
-from ..interface import Decision, Listing, Outcome, Stage, Verb, Warmth
+from ..interface import Decision, Endpoint, Outcome, Stage, Verb, Warmth
 from ..terms import TermsFault, read_terms
 
 STAGES = {"active": Stage.READY, "leaving": Stage.DRAINING, "left": Stage.GONE}
@@ -76,8 +76,8 @@
             front_end.time_passed(now)
         elif kind == "topology":
             if item[3] != "X":
-                listings = [self._listing(entry) for entry in item[4] or []]
-                front_end.executors_listed(now, listings, item[3] != "D")
+                endpoints = [self._endpoint(entry) for entry in item[4] or []]
+                front_end.executors_listed(now, endpoints, item[3] != "D")
         elif kind == "dropped":
             request = self.requests.index.get(item[2])
             if request is not None:
@@ -129,12 +129,12 @@
             return ["signal", self.name, "all", b64encode(d.payload).decode()]
         return ["schedule", self.name, d.ms / 1e3, "look"]
 
-    def _listing(self, entry: list) -> Listing:
+    def _endpoint(self, entry: list) -> Endpoint:
         wire, zone, machine, cell, stage, weight, started = (entry + [None, None])[:7]
         if stage not in STAGES:
             raise WireFault(f"topology names an unknown state {stage!r}")
         index, _ = self.executors.enter(wire)
-        return Listing(
+        return Endpoint(
             index,
             wire,
             zone or 0,
--- a/petrelway/emulator/fronts.py
+++ b/petrelway/emulator/fronts.py
@@ -16,7 +16,7 @@
 from ..standin.life import Life
 from ..standin.memory import Process, World
 from ..standin.roster import Book
-from ..wire.listing import Line
+from ..wire.endpoint import Line
 from .links import Cable, EmulatedLink
 from .network import Network
 from .sea import Sea
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -16,8 +16,8 @@
 
 from ..choice import FrontEnd
 from ..indices import Ids
-from ..interface import Tenant, Decision, Listing, Outcome, Permits, Stage, RequestClass, Verb, Warmth
-from ..listing import Line
+from ..interface import Tenant, Decision, Endpoint, Outcome, Permits, Stage, RequestClass, Verb, Warmth
+from ..endpoint import Line
 from ..start_times import StartTimes
 from ..wire import codec
 from .links import Link
@@ -247,7 +247,7 @@
     def executors_listed(self, lines: list[Line], complete: bool) -> None:
         """The roster's word. A link is made for each executor that it names."""
         self.look_at_wall_clock()
-        now, listings = self.now(), []
+        now, endpoints = self.now(), []
         for line in lines:
             if line.stage == "gone" and line.executor not in self.executors.index:
                 continue
@@ -255,8 +255,8 @@
             started_ms = self.starts.own_ms(now, line.executor, line.started_ms)
             if self.watch is not None:
                 self._note_change(now, index, line, started_ms)
-            listings.append(
-                Listing(
+            endpoints.append(
+                Endpoint(
                     index,
                     line.executor,
                     self.zones.enter(line.zone)[0],
@@ -284,7 +284,7 @@
             else:
                 self.links[index].moved(line.address, line.port)
                 self.links[index].restarted(line.started_ms, started_ms)
-        self.front_end.executors_listed(now, listings, complete)
+        self.front_end.executors_listed(now, endpoints, complete)
         self._soon()
 
     def look_at_wall_clock(self) -> None:
@@ -302,9 +302,9 @@
         known = self.front_end.executors.get(index)
         if known is None:
             self.watch.changed(now, "executor listed", f"{line.executor} {line.stage} in {line.zone}")
-        elif known.listing.stage is not STAGES[line.stage]:
+        elif known.endpoint.stage is not STAGES[line.stage]:
             self.watch.changed(now, f"executor {line.stage}", line.executor)
-        elif started_ms > known.listing.started_ms:
+        elif started_ms > known.endpoint.started_ms:
             self.watch.changed(now, "executor restarted", line.executor)
 
     def attempt_ended(
@@ -334,7 +334,7 @@
         now = self.now()
         if self.watch is not None:
             name = self.executors.wire[executor]
-            zone = self.zones.wire.get(self.front_end.executors[executor].listing.zone, "")
+            zone = self.zones.wire.get(self.front_end.executors[executor].endpoint.zone, "")
             self.watch.ended(now, serial, name, zone, outcome.label, Warmth(warmth).label)
         self.front_end.attempt_ended(
             now, index, number, outcome, now - out.sent_ms, t.answer is None, Warmth(warmth)
--- a/petrelway/front/roster.py
+++ b/petrelway/front/roster.py
@@ -8,7 +8,7 @@
 from twisted.internet import interfaces, protocol
 from twisted.python.failure import Failure
 
-from ..wire import listing
+from ..wire import endpoint
 from ..wire.framing import Frames, WireFault
 from .backoff import Backoff
 
@@ -27,7 +27,7 @@
     def dataReceived(self, data: bytes) -> None:
         try:
             for payload in self.frames.feed(data):
-                self.follower.listed(*listing.from_roster(payload))
+                self.follower.listed(*endpoint.from_roster(payload))
         except WireFault as fault:
             self.follower.reason = str(fault)
             self.transport.abortConnection()
@@ -48,7 +48,7 @@
         clock: interfaces.IReactorTime,
         connect: Callable,
         chance: random.Random,
-        heard: Callable[[list[listing.Line], bool], None],
+        heard: Callable[[list[endpoint.Line], bool], None],
         log,
     ) -> None:
         self.front_end, self.process, self.address, self.port = front_end, process, address, port
@@ -75,9 +75,9 @@
             wire.transport.abortConnection()
             return
         self.wire, self.serial, self.reason = wire, None, ""
-        wire.transport.write(listing.follow(self.front_end, self.process))
+        wire.transport.write(endpoint.follow(self.front_end, self.process))
 
-    def listed(self, serial: int, complete: bool, lines: list[listing.Line]) -> None:
+    def listed(self, serial: int, complete: bool, lines: list[endpoint.Line]) -> None:
         if not complete and (self.serial is None or serial != self.serial + 1):
             # danger: a lost change could be a drain; the old list holds until the full one is here
             raise WireFault(f"changes {serial} after list {self.serial}: a gap")
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -137,7 +137,7 @@
     rate: float  # requests a second within the share, over all front ends; 0: untold
 
 
-class Listing(NamedTuple):
+class Endpoint(NamedTuple):
     """One line of the list of executors; `stable` is the same at every front end."""
 
     executor: int
--- a/petrelway/node/follower.py
+++ b/petrelway/node/follower.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from ..front.backoff import Backoff
-from ..listing import Line
+from ..endpoint import Line
 from ..platform.bus import Bus, resume
 from ..platform.faults import PlatformFault
 
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -18,7 +18,7 @@
 from ..front.dialling import connector
 from ..front.host import Function, Host, PendingAnswer
 from ..interface import Idempotency
-from ..listing import Line
+from ..endpoint import Line
 from ..platform.faults import PlatformFault
 from ..platform.lines import Asks
 from ..platform.passed import Passed
--- a/petrelway/platform/bus.py
+++ b/petrelway/platform/bus.py
@@ -12,7 +12,7 @@
 from struct import Struct
 from typing import Any, Protocol
 
-from ..listing import Line
+from ..endpoint import Line
 from .faults import PlatformFault
 
 HEAD = Struct(">IQB")
--- a/petrelway/rehearsal/baselines.py
+++ b/petrelway/rehearsal/baselines.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from ..choice import Executor, FrontEnd, Request
-from ..interface import Decision, Listing, Released, Stage, Verb
+from ..interface import Decision, Endpoint, Released, Stage, Verb
 
 
 class RandomChoice(FrontEnd):
@@ -39,8 +39,8 @@
         self.todo: deque[Decision] = deque()
         self.done = Released([], [], [])
 
-    def executors_listed(self, now: float, listings: Iterable[Listing], complete: bool) -> None:
-        told = {x.executor: x.stage is Stage.READY for x in listings}
+    def executors_listed(self, now: float, endpoints: Iterable[Endpoint], complete: bool) -> None:
+        told = {x.executor: x.stage is Stage.READY for x in endpoints}
         kept = [] if complete else [e for e in self.executors if e not in told]
         self.executors = kept + [e for e, ready in told.items() if ready]
 
--- a/petrelway/standin/roster.py
+++ b/petrelway/standin/roster.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import protocol
 
-from ..wire import listing
+from ..wire import endpoint
 from ..wire.framing import Frames, WireFault
 from .script import Post, Script
 
@@ -18,16 +18,16 @@
 
     told_ms: float
     at_ms: float
-    line: listing.Line
+    line: endpoint.Line
 
 
-def _line(day, post: Post, port: int, stage: str, started_ms: float) -> listing.Line:
+def _line(day, post: Post, port: int, stage: str, started_ms: float) -> endpoint.Line:
     fleet = day["fleet"]
     zone, machine = fleet.zones[post.zone], fleet.kinds[post.kind].name
-    return listing.Line(post.name, "127.0.0.1", port, zone, machine, post.cell, stage, 1.0, started_ms)
+    return endpoint.Line(post.name, "127.0.0.1", port, zone, machine, post.cell, stage, 1.0, started_ms)
 
 
-def first_lines(day: dict[str, Any], script: Script, ports: Sequence[int]) -> list[listing.Line]:
+def first_lines(day: dict[str, Any], script: Script, ports: Sequence[int]) -> list[endpoint.Line]:
     """The list when the day begins."""
     return [_line(day, p, ports[p.number], "ready", 0.0) for p in script.posts if p.begins_ms <= 0.0]
 
@@ -48,7 +48,7 @@
     return found
 
 
-def tell(book: Book, line: listing.Line, at_ms: float) -> None:
+def tell(book: Book, line: endpoint.Line, at_ms: float) -> None:
     """What was true at that time, told now; the end of a process is old news once a later one is listed."""
     known = book.lines.get(line.executor)
     if line.stage != "ready":
@@ -62,13 +62,13 @@
     """What the list says, and who follows it."""
 
     def __init__(self, record) -> None:
-        self.lines: dict[str, listing.Line] = {}
+        self.lines: dict[str, endpoint.Line] = {}
         self.serial = 0
         self.followers: list[RosterServer] = []
         self.record = record
         self.lose_next = False
 
-    def change(self, *lines: listing.Line) -> None:
+    def change(self, *lines: endpoint.Line) -> None:
         """Changes to tell all followers; a gone executor leaves the full list."""
         self.serial += 1
         for line in lines:
@@ -95,7 +95,7 @@
     def dataReceived(self, data: bytes) -> None:
         try:
             for payload in self.frames.feed(data):
-                self.name, self.process = listing.from_follower(payload)
+                self.name, self.process = endpoint.from_follower(payload)
                 if self not in self.book.followers:
                     self.book.followers.append(self)
                 self.tell(True, self.book.lines.values())
@@ -112,7 +112,7 @@
             full=complete,
             lines=[[x.executor, x.stage, x.started_ms] for x in lines],
         )
-        self.transport.write(listing.listed(self.book.serial, complete, lines))
+        self.transport.write(endpoint.listed(self.book.serial, complete, lines))
 
     def drop(self) -> None:
         self.transport.abortConnection()
--- a/petrelway/wire/listing.py
+++ b/petrelway/wire/listing.py
@@ -7,7 +7,7 @@
 
 from google.protobuf.message import DecodeError
 
-from ..listing import Line
+from ..endpoint import Line
 from . import roster_pb2 as pb
 from .framing import WireFault, frame
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,7 +7,7 @@
     Decision,
     Idempotency,
     Keeping,
-    Listing,
+    Endpoint,
     LoadRation,
     Outcome,
     Permits,
@@ -55,7 +55,7 @@
 
     def lists(self, stages, complete=True, started=None, zones=2):
         lines = [
-            Listing(e, f"e{e}", e % zones, 0, e // 2, s, 1.0, (started or {}).get(e, 0.0))
+            Endpoint(e, f"e{e}", e % zones, 0, e // 2, s, 1.0, (started or {}).get(e, 0.0))
             for e, s in stages.items()
         ]
         self.fe.executors_listed(self.now, lines, complete)
@@ -91,7 +91,7 @@
     def only(self, executor):
         """Drain all executors but one; None: all ready again."""
         stages = {e: Stage.READY if executor in (e, None) else Stage.DRAINING for e in self.fe.executors}
-        self.lists(stages, started={i: e.listing.started_ms for i, e in self.fe.executors.items()})
+        self.lists(stages, started={i: e.endpoint.started_ms for i, e in self.fe.executors.items()})
 
     def teach(self, executor, function=0, times=1):
         """Succeeded answers from one executor, whatever the choice would have been."""
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -41,7 +41,7 @@
                 (-k, 0): Attempt(0, x, f if k < own[e] else g, 0.0, 0.0) for k in range(own[e] + others[e])
             }
         host.fe.out = sum(own + others)
-        chosen = ask(host).listing.executor
+        chosen = ask(host).endpoint.executor
         assert (chosen >= 2) if expected == "unskilled" else chosen in expected, (own, others, chosen)
 
 
@@ -52,7 +52,7 @@
         for order in (range(6), range(5, -1, -1)):
             host = Host(0)
             host.lists(dict.fromkeys(order, Stage.READY))
-            picks.append(ask(host, name).listing.stable)
+            picks.append(ask(host, name).endpoint.stable)
         assert picks[0] == picks[1]
 
 
@@ -120,11 +120,11 @@
             host.only(None)
             host.end(t, outcome, executor=d.executor, finished=True)
             host.pull()
-        chosen = {ask(host).listing.executor for _ in range(30)}
+        chosen = {ask(host).endpoint.executor for _ in range(30)}
         assert chosen == expected, (outcome, chosen)
         host.now += 2_000_000.0  # the evidence fades, and it is tried again
         host.fe.executors[0].resume, host.fe.executors[1].resume = {0: host.now}, {0: host.now}
-        assert {ask(host).listing.executor for _ in range(30)} == {0, 1}
+        assert {ask(host).endpoint.executor for _ in range(30)} == {0, 1}
 
 
 def test_overdue_is_sent_again_and_written_off():
@@ -164,7 +164,7 @@
         host.end(t, Outcome.FULL, executor=d.executor, took=took, finished=True)
         host.pull()
         refused = expected if d.executor == 0 or len(expected) == 2 else {0}
-        assert {ask(host, tenant=tenant).listing.executor for _ in range(30)} == refused
+        assert {ask(host, tenant=tenant).endpoint.executor for _ in range(30)} == refused
 
 
 def test_crowded_holds_then_rejects():
@@ -278,7 +278,7 @@
 
 
 def check_sums(fe):
-    fleet, ready = fe.fleet, [e for e in fe.executors.values() if e.listing.stage is Stage.READY]
+    fleet, ready = fe.fleet, [e for e in fe.executors.values() if e.endpoint.stage is Stage.READY]
     assert set(fleet.ready) == set(ready) and len(fleet.ready) == len(ready) and fe.ready is fleet.ready
     assert fleet.crowded == sum(e.busy >= e.limit for e in ready)
     assert fleet.load_requests == sum(len(e.load_requests) for e in ready) == sum(fleet.loading.values())
@@ -343,7 +343,7 @@
     for e in host.fe.ready:
         host.fe._skilled(e, f, host.now)
     looked, real = [], host.fe._fit
-    host.fe._fit = lambda t, e, now: looked.append(e.listing.executor) or real(t, e, now)
+    host.fe._fit = lambda t, e, now: looked.append(e.endpoint.executor) or real(t, e, now)
     for _ in range(300):
         before = len(looked)
         assert ask(host) is not None
@@ -415,7 +415,7 @@
 
 
 def load_requests_of(host):
-    return [(e.listing.executor, f) for e in host.fe.ready for f in e.load_requests]
+    return [(e.endpoint.executor, f) for e in host.fe.ready for f in e.load_requests]
 
 
 def test_loads_go_as_fast_as_the_store_gives():
@@ -499,7 +499,7 @@
     host = failing(True)
     e = host.fe.executors[0]
     t = host.fe.requests[host.take()]
-    assert host.fe.choose(t, host.now).listing.executor == 1
+    assert host.fe.choose(t, host.now).endpoint.executor == 1
     host.fe.executors[1].limit = 0.0  # nobody else has room: still not there
     assert host.fe.choose(t, host.now) is None
     t.kind = 1  # another request class may
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -163,12 +163,12 @@
     """Rule 3: a draining executor is as good as any."""
 
     def send(self, t, e, listed, now):
-        listing = e.listing
-        e.listing = listing._replace(stage=Stage.READY)
+        endpoint = e.endpoint
+        e.endpoint = endpoint._replace(stage=Stage.READY)
         try:
             return super().send(t, e, listed, now)
         finally:
-            e.listing = listing
+            e.endpoint = endpoint
 
 
 class NoCold(Gate):
@@ -182,7 +182,7 @@
     """Rule 5: orders without end."""
 
     def order(self, e, now):
-        return e.listing.stage is Stage.READY
+        return e.endpoint.stage is Stage.READY
 
 
 def with_gate(gate):
@@ -191,14 +191,14 @@
             super().__init__(*told)
             self.gate.__class__ = gate
 
-        def executors_listed(self, now, listings, complete):
-            super().executors_listed(now, listings, complete)
+        def executors_listed(self, now, endpoints, complete):
+            super().executors_listed(now, endpoints, complete)
             some = list(self.executors.values())
             if gate is AnyStage:
                 for e in some:
-                    self.fleet.list(e, e.listing.stage is not Stage.GONE)
+                    self.fleet.list(e, e.endpoint.stage is not Stage.GONE)
             if gate is NoCold:  # and only the youngest
-                youngest = max(some, key=lambda e: (e.listing.stage is Stage.READY, e.listing.started_ms))
+                youngest = max(some, key=lambda e: (e.endpoint.stage is Stage.READY, e.endpoint.started_ms))
                 for e in some:
                     self.fleet.list(e, e is youngest)
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -20,7 +20,7 @@
     RequestClass,
 )
 from petrelway.wire import codec
-from petrelway.wire.listing import Line
+from petrelway.wire.endpoint import Line
 
 F = Function("f", 100.0, 2, 500.0)
 
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -18,7 +18,7 @@
 from petrelway.front.intake import BODY_BOUND, Intake
 from petrelway.front.roster import Follower
 from petrelway.interface import Warmth
-from petrelway.wire import listing
+from petrelway.wire import endpoint
 
 CATALOGUE = Catalogue([Function("f", 100.0, 2, 0.0), Function("station-*", 50.0, 4, 0.0)])
 ASKS = Asks({"t": 3000.0, "u": 6000.0}, ["north", "south"], CATALOGUE)
@@ -266,9 +266,9 @@
 
     def tell(self, serial, complete, count=1):
         lines = [
-            listing.Line(f"e{i}", "127.0.0.1", 7000, "a", "q", 0, "ready", 1.0, 0.0) for i in range(count)
+            endpoint.Line(f"e{i}", "127.0.0.1", 7000, "a", "q", 0, "ready", 1.0, 0.0) for i in range(count)
         ]
-        self.wire.dataReceived(listing.listed(serial, complete, lines))
+        self.wire.dataReceived(endpoint.listed(serial, complete, lines))
 
     def up(self):
         while not self.net.dialled:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,7 +6,7 @@
 import pytest
 
 from petrelway.interface import Idempotency, Outcome, Warmth
-from petrelway.listing import Line
+from petrelway.endpoint import Line
 from petrelway.platform import bus, frames, lines
 from petrelway.platform.faults import PlatformFault
 from petrelway.platform.passed import Passed
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -16,7 +16,7 @@
     Tenant,
     Idempotency,
     Keeping,
-    Listing,
+    Endpoint,
     LoadRation,
     Outcome,
     Permits,
@@ -85,9 +85,9 @@
         return fe
 
     def list(self, fe, now, started):
-        lines = [Listing(e, f"e{e}", 0, 0, e // 4, Stage.READY, 1.0, 0.0) for e in range(EXECUTORS)]
+        lines = [Endpoint(e, f"e{e}", 0, 0, e // 4, Stage.READY, 1.0, 0.0) for e in range(EXECUTORS)]
         if started:
-            lines += [Listing(e, f"e{e}", 0, 0, 9, Stage.READY, 1.0, WARM_UP_MS) for e in self.cold]
+            lines += [Endpoint(e, f"e{e}", 0, 0, 9, Stage.READY, 1.0, WARM_UP_MS) for e in self.cold]
         fe.executors_listed(now, lines, True)
 
     def after(self, ms, what, *args):
--- a/tests/test_ranking_front_end.py
+++ b/tests/test_ranking_front_end.py
@@ -8,7 +8,7 @@
 from helpers import Host, verbs
 from test_ranking import model
 
-from petrelway.interface import Idempotency, Listing, Outcome, Scope, Stage, Verb, Warmth
+from petrelway.interface import Idempotency, Endpoint, Outcome, Scope, Stage, Verb, Warmth
 from petrelway.ranking import WINDOW
 
 EXECUTORS = 3 * WINDOW
@@ -24,9 +24,9 @@
         self.stages = dict.fromkeys(range(count), Stage.READY)
         self.started = dict.fromkeys(range(count), 0.0)
 
-    def listing(self, number):
+    def endpoint(self, number):
         """Zones in turn; a cell holds consecutive executors of all zones."""
-        return Listing(
+        return Endpoint(
             number,
             f"executor-{number}",
             number % self.zones,
@@ -46,7 +46,7 @@
     def tell(self, host, numbers=None):
         """The whole list, or the lines of some."""
         some = self.stages if numbers is None else numbers
-        host.fe.executors_listed(host.now, [self.listing(number) for number in some], numbers is None)
+        host.fe.executors_listed(host.now, [self.endpoint(number) for number in some], numbers is None)
 
 
 def front_end(registry, seed=7, **more):
@@ -62,12 +62,12 @@
 
 
 def first_homes(host, functions):
-    return [f.ranked(host.fe.fleet, 1)[0].listing.executor for f in functions]
+    return [f.ranked(host.fe.fleet, 1)[0].endpoint.executor for f in functions]
 
 
 def check_load_requests(host):
     """Each function's order is that of the list alone, whatever came and went."""
-    ready = [e for e in host.fe.executors.values() if e.listing.stage is Stage.READY]
+    ready = [e for e in host.fe.executors.values() if e.endpoint.stage is Stage.READY]
     for f in host.fe.functions.values():
         assert list(f.order.all(host.fe.fleet.ring)) == model(f.salt, ready, WINDOW)
         assert f.ranked(host.fe.fleet, 5) == model(f.salt, ready, WINDOW)[:5]
@@ -104,7 +104,7 @@
 
     def note(self, d):
         if d.verb is Verb.SEND:
-            assert self.host.fe.executors[d.executor].listing.stage is Stage.READY
+            assert self.host.fe.executors[d.executor].endpoint.stage is Stage.READY
             assert self.finals[d.request] == 0
             self.out.append((d.request, self.numbers[d.request], d.executor))
             self.numbers[d.request] += 1
@@ -163,7 +163,7 @@
             fault = chance.choice(FAULTS)
             numbers = set(chance.sample(range(EXECUTORS), 6))
             for f in chance.sample(list(hosts[0].fe.functions.values()), len(hosts[0].fe.functions) // 6):
-                numbers.update(e.listing.executor for e in f.ranked(hosts[0].fe.fleet, 8))
+                numbers.update(e.endpoint.executor for e in f.ranked(hosts[0].fe.fleet, 8))
             strike(registry, fault, numbers)
             if fault == "restart":
                 registry.started.update(dict.fromkeys(numbers, hosts[0].now))
@@ -280,7 +280,7 @@
             taken += 1
             for d in host.pull():
                 if d.verb is Verb.SEND:
-                    assert host.fe.executors[d.executor].listing.stage is Stage.READY
+                    assert host.fe.executors[d.executor].endpoint.stage is Stage.READY
                     host.end(request, Outcome.MISS, executor=d.executor)
             load_requested += sum(d.verb is Verb.PREFETCH for d in host.pull(20.0))
         if round_ == 20:
@@ -366,7 +366,7 @@
 
 
 def check_orders_of(host, most):
-    ready = [e for e in host.fe.executors.values() if e.listing.stage is Stage.READY]
+    ready = [e for e in host.fe.executors.values() if e.endpoint.stage is Stage.READY]
     for f in list(host.fe.functions.values())[:most]:
         assert list(f.order.all(host.fe.fleet.ring)) == model(f.salt, ready, WINDOW)
 
@@ -392,18 +392,18 @@
     request = host.take(function, remaining=9000.0)
     first = host.pull()[0].executor
     f = host.fe.functions[function]
-    window = [e.listing.executor for e in f.ranked(host.fe.fleet)]
+    window = [e.endpoint.executor for e in f.ranked(host.fe.fleet)]
     assert len(window) == WINDOW and first == window[0]
 
     def group(number):
-        listing = registry.listing(number)
-        return listing.cell if scope is Scope.CELL else listing.zone
+        endpoint = registry.endpoint(number)
+        return endpoint.cell if scope is Scope.CELL else endpoint.zone
 
     mates = {number for number in registry.stages if group(number) == group(first)}
     gone = set(window) - mates | {first} if others else set(window) | mates
     registry.set(gone, Stage.DRAINING)
     registry.tell(host)
-    homes = [e.listing.executor for e in f.ranked(host.fe.fleet, 1)]
+    homes = [e.endpoint.executor for e in f.ranked(host.fe.fleet, 1)]
     assert not gone & set(homes)
     host.pull(waited_ms)
     host.end(request, Outcome.RESET, executor=first)
@@ -424,7 +424,7 @@
         e.weigh(int(e.limit))
     host.take(0)
     sends = [d.executor for d in host.pull() if d.verb is Verb.SEND]
-    assert sends == [order[WINDOW + 3].listing.executor]
+    assert sends == [order[WINDOW + 3].endpoint.executor]
     for e in order:
         e.weigh(int(e.limit) - e.busy)
     host.take(0)
@@ -440,7 +440,7 @@
         host.take(0 if step % 10 else step)
     f = host.fe.functions[0]
     assert WINDOW < host.fe.homes(f, host.now) <= 3 * EXECUTORS
-    chosen = {host.fe.choose(host.fe.requests[host.take(0)], host.now).listing.executor for _ in range(800)}
+    chosen = {host.fe.choose(host.fe.requests[host.take(0)], host.now).endpoint.executor for _ in range(800)}
     assert len(chosen) > WINDOW
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -65,7 +65,7 @@
         host.end(t, outcome, executor=first.executor)
         second = host.pull(50.0)
         assert verbs(second)[:1] == [expected], (idempotency, scope, outcome, waited, second)
-        at, then = (host.fe.executors[d.executor].listing for d in (first, second[0])) if group else (0, 0)
+        at, then = (host.fe.executors[d.executor].endpoint for d in (first, second[0])) if group else (0, 0)
         if group:
             assert getattr(at, group) == getattr(then, group)
     host = Host(4, ONE, seconds=True)  # one-shot: no second copy beside the first, however late
@@ -171,7 +171,7 @@
         for name, value in changes.items():
             setattr(t, name, value)
         e = host.fe.executors[1 - first]
-        e.listing = e.listing._replace(stage=stage)
+        e.endpoint = e.endpoint._replace(stage=stage)
         assert host.fe.gate.send(t, e, 2, host.now) == expected, (changes, stage, seconds)
 
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -4,7 +4,7 @@
 from test_host import Rig
 
 from petrelway.start_times import StartTimes
-from petrelway.wire.listing import Line
+from petrelway.wire.endpoint import Line
 
 HOUR_MS = 3_600_000.0
 
@@ -83,7 +83,7 @@
     ahead_s[0] = -3600.0
     rig.host.look_at_wall_clock()
     (executor,) = rig.host.front_end.executors.values()
-    assert executor.listing.started_ms == heard_ms
+    assert executor.endpoint.started_ms == heard_ms
 
 
 def test_no_executor_that_has_gone_is_remembered():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from petrelway.wire import codec, listing
+from petrelway.wire import codec, endpoint
 from petrelway.wire import worker_pb2 as pb
 from petrelway.wire.framing import FRAME_BOUND, Frames, WireFault, frame
 
@@ -99,7 +99,7 @@
             read(data, Side())
         except WireFault:
             pass
-    for read in (listing.from_roster, listing.from_follower):
+    for read in (endpoint.from_roster, endpoint.from_follower):
         try:
             read(data)
         except WireFault:
@@ -108,17 +108,17 @@
 
 def test_lists():
     lines = [
-        listing.Line("e1", "127.0.0.1", 7001, "a", "quad", 2, stage, 1.0, 5.0) for stage in listing.STAGES
+        endpoint.Line("e1", "127.0.0.1", 7001, "a", "quad", 2, stage, 1.0, 5.0) for stage in endpoint.STAGES
     ]
-    (payload,) = Frames().feed(listing.listed(4, False, lines))
-    assert listing.from_roster(payload) == (4, False, lines)
-    (payload,) = Frames().feed(listing.follow("front-1", "p1"))
-    assert listing.from_follower(payload) == ("front-1", "p1")
+    (payload,) = Frames().feed(endpoint.listed(4, False, lines))
+    assert endpoint.from_roster(payload) == (4, False, lines)
+    (payload,) = Frames().feed(endpoint.follow("front-1", "p1"))
+    assert endpoint.from_follower(payload) == ("front-1", "p1")
     for bad in (
         lines[0]._replace(port=0),
         lines[0]._replace(executor=""),
         lines[0]._replace(weight=float("inf")),
     ):
-        (payload,) = Frames().feed(listing.listed(4, True, [bad]))
+        (payload,) = Frames().feed(endpoint.listed(4, True, [bad]))
         with pytest.raises(WireFault):
-            listing.from_roster(payload)
+            endpoint.from_roster(payload)
