--- a/benchmarks/capacity_front_end_fleet.py
+++ b/benchmarks/capacity_front_end_fleet.py
@@ -26,7 +26,7 @@
 from petrelway.capacity.slopes import Evidence, Slope, fit
 from petrelway.front.host import Host
 from petrelway.interface import Stage
-from petrelway.endpoint import Line
+from petrelway.endpoint_entry import EndpointEntry
 from petrelway.wire import codec
 
 DIMENSION = "executor listed"
@@ -157,7 +157,7 @@
     )  # fmt: skip
     host.executors_listed(
         [
-            Line(
+            EndpointEntry(
                 line.stable,
                 f"127.0.{line.executor >> 8}.{line.executor & 255}",
                 7000,
--- a/petrelway/background/running.py
+++ b/petrelway/background/running.py
@@ -13,7 +13,7 @@
 LOOK_MS = 50.0  # how often the reactor's lag is looked at
 
 
-class Refused(Exception):
+class RefusedError(Exception):
     """Too many tasks; nothing of this one was begun."""
 
 
@@ -52,7 +52,7 @@
         id = self.planner.add(now, name, cls, now + within_ms, rate, burst_ms)
         if id < 0 or self.closed:
             self.planner.done(id)
-            return defer.fail(Refused(f"{name}: {len(self.running)} background tasks"))
+            return defer.fail(RefusedError(f"{name}: {len(self.running)} background tasks"))
         finished: defer.Deferred = defer.Deferred(lambda _: self._drop(id))
         self.running[id] = steps, finished
         self._soon()
--- a/petrelway/capacity/page.py
+++ b/petrelway/capacity/page.py
@@ -31,7 +31,7 @@
 SIZES_KEPT = 16  # of one page
 
 
-class PageFault(Exception):
+class PageError(Exception):
     """The page can't be written; the text says why in one line."""
 
 
@@ -63,10 +63,10 @@
 def render(text: str, folder: Path, slopes: SlopeFile) -> str:
     """The page's text with each table written anew; size files are found from `folder`.
 
-    Raises PageFault for a table that is not known or a page without one, SettingsFault for a bad size file.
+    Raises PageError for a table that is not known or a page without one, SettingsError for a bad size file.
     """
     if not BLOCK.search(text):
-        raise PageFault("no table: one begins with <!-- table: SIZE NAME --> and ends with <!-- end -->")
+        raise PageError("no table: one begins with <!-- table: SIZE NAME --> and ends with <!-- end -->")
 
     @lru_cache(maxsize=SIZES_KEPT)
     def worked_out(file: str) -> Worked:
@@ -76,7 +76,7 @@
     def block(match: re.Match[str]) -> str:
         file, name = match[1], match[2]
         if name not in TABLES:
-            raise PageFault(f"no table is called {name!r}; allowed: {', '.join(TABLES)}")
+            raise PageError(f"no table is called {name!r}; allowed: {', '.join(TABLES)}")
         return f"<!-- table: {file} {name} -->\n{TABLES[name](worked_out(file))}\n<!-- end -->"
 
     return BLOCK.sub(block, text)
--- a/petrelway/capacity/size.py
+++ b/petrelway/capacity/size.py
@@ -7,7 +7,7 @@
 from msgspec import Meta
 
 from ..settings.front import Strict
-from ..settings.reading import Fault, SettingsFault, evaluate, sections
+from ..settings.reading import Fault, SettingsError, evaluate, sections
 
 Count = Annotated[int, Meta(ge=1, le=1_000_000_000)]
 Times = Annotated[float, Meta(ge=0, le=1e9)]
@@ -86,15 +86,15 @@
 
 
 def read_size(file: str) -> Size:
-    """The size that a file describes. Raises SettingsFault, one line a fault with file and path."""
+    """The size that a file describes. Raises SettingsError, one line a fault with file and path."""
     return check_size(file, evaluate(file))
 
 
 def check_size(file: str, tree: dict[str, Any]) -> Size:
-    """An evaluated file as a size. Raises SettingsFault."""
+    """An evaluated file as a size. Raises SettingsError."""
     size = Size(**sections(file, tree, SHAPES))
     if faults := _between(size):
-        raise SettingsFault(file, faults)
+        raise SettingsError(file, faults)
     return size
 
 
--- a/petrelway/capacity/slopes.py
+++ b/petrelway/capacity/slopes.py
@@ -69,7 +69,7 @@
     slopes: dict[str, Slope]
 
 
-class SlopeFault(Exception):
+class SlopeFileError(Exception):
     """The file of slopes can't be used, or too few points were given; the text says why in one line."""
 
 
@@ -87,7 +87,7 @@
     Sizes double, so that plain least squares would go by the largest alone. While the largest point lies
     further from the line than LINE_TOLERANCE and more than three points are left, the line is fitted
     without it.
-    Raises SlopeFault for fewer than LEAST_POINTS sizes.
+    Raises SlopeFileError for fewer than LEAST_POINTS sizes.
 
     >>> line = fit("a.b_by_c", "B", "c", Evidence.MEASURED, [(1, 12), (2, 14), (4, 18), (8, 26)])
     >>> round(line.base, 6), round(line.slope, 6), line.line_up_to, line.knee
@@ -97,7 +97,7 @@
     """
     load_requested = sorted(points)
     if len({size for size, _ in load_requested}) < LEAST_POINTS:
-        raise SlopeFault(f"{name}: {LEAST_POINTS} sizes at least are needed, {len(load_requested)} given")
+        raise SlopeFileError(f"{name}: {LEAST_POINTS} sizes at least are needed, {len(load_requested)} given")
     kept = list(load_requested)
     while True:
         base, slope, error = _line(kept)
@@ -139,13 +139,13 @@
 
 
 def read_slopes(path: Path = SLOPES_FILE) -> SlopeFile:
-    """The file of slopes. Raises SlopeFault with the file's name and what is wrong with it."""
+    """The file of slopes. Raises SlopeFileError with the file's name and what is wrong with it."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=SlopeFile)
     except OSError as error:
-        raise SlopeFault(f"{path.name}: {error.strerror}") from error
+        raise SlopeFileError(f"{path.name}: {error.strerror}") from error
     except msgspec.MsgspecError as error:
-        raise SlopeFault(f"{path.name}: {error}") from error
+        raise SlopeFileError(f"{path.name}: {error}") from error
 
 
 def write_slopes(found: list[Slope], machine: str, path: Path = SLOPES_FILE) -> None:
--- a/petrelway/commands/capacities.py
+++ b/petrelway/commands/capacities.py
@@ -20,13 +20,13 @@
 
     Exit 1 if a limit is passed at that size.
     """
-    from ..capacity.slopes import SLOPES_FILE, SlopeFault, read_slopes
+    from ..capacity.slopes import SLOPES_FILE, SlopeFileError, read_slopes
 
     if (size is None) == (page is None):
         raise click.UsageError("give a SIZE, or --page and none")
     try:
         measured = read_slopes(slopes or SLOPES_FILE)
-    except SlopeFault as fault:
+    except SlopeFileError as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
     if page is not None:
@@ -49,12 +49,12 @@
 
 
 def _write_page(page: Path, measured) -> None:
-    from ..capacity.page import PageFault, render
+    from ..capacity.page import PageError, render
 
     try:
         written = read_or_exit(lambda file: render(page.read_text("utf-8"), page.parent, measured), str(page))
         page.write_text(written, "utf-8")
-    except PageFault as fault:
+    except PageError as fault:
         click.echo(f"{page}: {fault}", err=True)
         sys.exit(2)
     except OSError as problem:
--- a/petrelway/commands/emulations.py
+++ b/petrelway/commands/emulations.py
@@ -11,7 +11,7 @@
 import click
 
 from ..settings.days import check_day
-from ..settings.reading import SettingsFault, evaluate
+from ..settings.reading import SettingsError, evaluate
 from .fronts import read_or_exit
 
 POLICY_WORDS = ["petrelway", "random", "least-loaded"]
@@ -38,8 +38,8 @@
             tree.setdefault("day", {})["seed"] = seed
         try:
             return EmulatedDay(tree, POLICIES[policy])
-        except SettingsFault as fault:
-            raise SettingsFault(file, fault.faults) from fault
+        except SettingsError as fault:
+            raise SettingsError(file, fault.faults) from fault
 
     played = read_or_exit(make, day, as_json)
     lines = played.play()
@@ -90,14 +90,14 @@
 )
 def experiment(file, output, processes) -> None:
     """Play the grid or the random sweep that FILE (Jsonnet) describes, one process a run."""
-    from ..emulator.experiment import NotResumable, RunFailed, open_results, play, read_experiment
-    from ..emulator.results import ResultsFault
+    from ..emulator.experiment import NotResumableError, RunFailedError, open_results, play, read_experiment
+    from ..emulator.results import ResultsFileError
 
     asked = read_or_exit(read_experiment, file)
     path = _place(output)
     try:
         results = open_results(asked, path)
-    except (NotResumable, ResultsFault) as problem:
+    except (NotResumableError, ResultsFileError) as problem:
         raise click.UsageError(str(problem)) from problem
     before = results.count
     with click.progressbar(length=asked.size(), label="runs", file=sys.stderr) as bar:
@@ -107,7 +107,7 @@
 
         try:
             play(asked, results, path, processes, progress)
-        except RunFailed as failure:
+        except RunFailedError as failure:
             click.echo(f"\na run failed: {failure}; {results.count} runs are in {path.name}", err=True)
             sys.exit(3)
     broken = sum(1 for n in results.columns.get("broken_rules", []) if n)
@@ -116,11 +116,11 @@
 
 
 def _load(path: str):
-    from ..emulator.results import ResultsFault, load
+    from ..emulator.results import ResultsFileError, load
 
     try:
         return load(Path(path))
-    except ResultsFault as problem:
+    except ResultsFileError as problem:
         raise click.UsageError(str(problem)) from problem
 
 
--- a/petrelway/commands/fronts.py
+++ b/petrelway/commands/fronts.py
@@ -10,14 +10,14 @@
 
 from .. import logs
 from ..settings.front import read_front_end
-from ..settings.reading import SettingsFault
+from ..settings.reading import SettingsError
 
 
 def read_or_exit(read, file: str, as_json: bool = False):
     """What `read` gives for the file; on faults prints them and exits with 2."""
     try:
         return read(file)
-    except SettingsFault as fault:
+    except SettingsError as fault:
         if as_json:
             click.echo(json.dumps({"file": fault.file, "faults": [f._asdict() for f in fault.faults]}))
         else:
@@ -55,7 +55,7 @@
     from ..daemon.service import Daemon
     from ..front.collecting import settle
     from ..front.service import FrontEndService
-    from ..policy.store import StoreFault
+    from ..policy.store import StorageError
     from ..rehearsal.baselines import POLICIES
     from ..standin.records import Record
 
@@ -88,7 +88,7 @@
         front.startService()
     except ValueError as problem:
         raise click.UsageError(f"{file}: console.token_file: {problem}") from problem
-    except StoreFault as problem:
+    except StorageError as problem:
         raise click.UsageError(f"{file}: policy.file: {problem}") from problem
     except error.CannotListenError as problem:
         section = "listen" if problem.port == found["listen"].port else "console"
--- a/petrelway/commands/loads.py
+++ b/petrelway/commands/loads.py
@@ -16,7 +16,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Print the figures as JSON, by second too.")
 def load(target, file, as_json) -> None:
     """Send the load of FILE (Jsonnet) to the front end at TARGET, 127.0.0.1:PORT, in open loop."""
-    from ..load.running import LoadFailed, play, text
+    from ..load.running import LoadRunError, play, text
     from ..load.plan import read_load
 
     address, _, port = target.rpartition(":")
@@ -25,7 +25,7 @@
     plan = read_or_exit(read_load, file, as_json)
     try:
         found = play(file, plan, int(port))
-    except LoadFailed as failure:
+    except LoadRunError as failure:
         click.echo(f"the load failed: {failure}", err=True)
         sys.exit(3)
     click.echo(json.dumps(found) if as_json else text(found))
--- a/petrelway/commands/nodes.py
+++ b/petrelway/commands/nodes.py
@@ -10,7 +10,7 @@
 import click
 
 from .. import logs
-from ..platform.faults import PlatformFault
+from ..platform.faults import ProtocolError
 from ..platform.told import read_told
 
 
@@ -63,7 +63,7 @@
     signal.signal(signal.SIGTERM, lambda *_: reactor.callWhenRunning(reactor.stop))
     try:
         told = read_told(patiently(read))
-    except (PlatformFault, OSError) as fault:
+    except (ProtocolError, OSError) as fault:
         _refuse(f"{file}: {fault}")
     log, _ = logs.start("json", "info", stream=sys.stdout, front_end=told.name)
     errors = logs.library_errors(log)
@@ -79,7 +79,7 @@
     )
     try:
         front.startService()
-    except PlatformFault as fault:
+    except ProtocolError as fault:
         _refuse(f"{file}: {fault}")
     except error.CannotListenError as problem:
         _refuse(
--- a/petrelway/commands/policies.py
+++ b/petrelway/commands/policies.py
@@ -47,7 +47,7 @@
 
 
 def read_terms(file: str) -> str:
-    """The terms in a Jsonnet file, in one form. Raises SettingsFault."""
+    """The terms in a Jsonnet file, in one form. Raises SettingsError."""
     alone = {"front_end": FrontEndPlace(name="-", zone="-"), "fleet": Fleet(zones=["-"])}
     return canonical(check(file, evaluate(file), alone))
 
--- a/petrelway/commands/rehearsals.py
+++ b/petrelway/commands/rehearsals.py
@@ -13,9 +13,9 @@
 from ..rehearsal.report import told_of_fleet
 from ..rules.checker import figures, judge
 from ..rules.fleet import judge_day
-from ..rules.records import RecordFault, read
+from ..rules.records import RecordError, read
 from ..settings.days import check_day, check_playable
-from ..settings.reading import SettingsFault, evaluate
+from ..settings.reading import SettingsError, evaluate
 from .fronts import read_or_exit
 
 
@@ -51,7 +51,7 @@
     """Start everything on loopback, play DAY (Jsonnet), check the five rules. Exit 1 if one is broken."""
     from ..clock import share_scale, steady_reactor
     from ..rehearsal.benchday import convert
-    from ..rehearsal.conductor import Conductor, PartFailed, Ports, write_plan
+    from ..rehearsal.conductor import Conductor, ProcessFailedError, Ports, write_plan
     from ..rehearsal.realworkers import PLAYED, unplayable
     from ..rehearsal.report import as_json as to_json
     from ..rehearsal.report import report, text
@@ -79,7 +79,7 @@
     try:
         ports = Ports(random.SystemRandom())
         write_plan(folder, tree, len(write(found).posts), found["fleet"].fronts, ports, consoles)
-    except PartFailed as failure:
+    except ProcessFailedError as failure:
         click.echo(f"the rehearsal failed: {failure}", err=True)
         sys.exit(3)
     conductor = Conductor(reactor, folder, tree, policy, _progress(found["day"].length_s))
@@ -90,7 +90,7 @@
     def done(failure=None) -> None:
         if failure is not None:
             problems.append(
-                failure.getErrorMessage() if failure.check(PartFailed) else failure.getTraceback()
+                failure.getErrorMessage() if failure.check(ProcessFailedError) else failure.getTraceback()
             )
         reactor.stop()
 
@@ -122,7 +122,7 @@
         found = check_day(str(plan), json.loads(plan.read_text())["day"])
         faults = judge(read(folder), figures(found))
         breaches = judge_day(read(folder), found)
-    except (OSError, ValueError, KeyError, SettingsFault, RecordFault) as error:
+    except (OSError, ValueError, KeyError, SettingsError, RecordError) as error:
         click.echo(f"{folder}: {error}", err=True)
         sys.exit(2)
     if as_json:
--- a/petrelway/commands/standins.py
+++ b/petrelway/commands/standins.py
@@ -36,7 +36,7 @@
 
 @standin.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.argument("hall", type=int)
+@click.argument("zone", type=int, metavar="HALL")
 def executors(folder: str, zone: int) -> None:
     """All executors of one zone."""
     from ..standin.parts import play_executors
@@ -136,13 +136,13 @@
 
     Reads go, report, settle, stop from standard input, one a line; answers by a report as JSON.
     """
-    from ..standin.hollow import FleetPlan, HollowFault
+    from ..standin.hollow import FleetPlan, HollowMembersError
     from ..standin.hollow_process import run_hollow
 
     try:
         plan = FleetPlan(size, network, port, seed)
         run_hollow(plan, range(first, first + count), ports, process, introduced)
-    except HollowFault as fault:
+    except HollowMembersError as fault:
         raise click.UsageError(str(fault)) from fault
 
 
--- a/petrelway/commands/workers.py
+++ b/petrelway/commands/workers.py
@@ -124,13 +124,13 @@
     """Serve the packages (*.tar) in FOLDER by name and digest on loopback."""
     from ..clock import steady_reactor
     from ..standin.packages import Shelf, site
-    from ..worker.package import PackageFault
+    from ..worker.package import PackageError
 
     reactor = steady_reactor()
     shelf = Shelf(reactor, takes, limit, fetch_ms)
     try:
         shelf.put_all(Path(folder))
-    except PackageFault as fault:
+    except PackageError as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
     reactor.listenTCP(port, site(shelf, reactor), interface="127.0.0.1")
@@ -148,11 +148,11 @@
 @click.option("-o", "--output", type=click.Path(), required=True)
 def build(folder: str, output: str) -> None:
     """Pack FOLDER, which has a manifest.json, into one file."""
-    from ..worker.package import PackageFault, build
+    from ..worker.package import PackageError, build
 
     try:
         manifest, digest = build(Path(folder), Path(output))
-    except PackageFault as fault:
+    except PackageError as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
     click.echo(f"{manifest.name} {manifest.version}: {len(manifest.files)} files, sha256 {digest}")
@@ -162,11 +162,11 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def check(file: str) -> None:
     """Check a package FILE: manifest, members, sizes, digests."""
-    from ..worker.package import PackageFault, check, digest_of
+    from ..worker.package import PackageError, check, digest_of
 
     try:
         manifest = check(Path(file))
-    except PackageFault as fault:
+    except PackageError as fault:
         click.echo(f"{file}: {fault}", err=True)
         sys.exit(1)
     click.echo(f"{file}: good: {manifest.name} {manifest.version}, sha256 {digest_of(Path(file))}")
--- a/petrelway/console/serving.py
+++ b/petrelway/console/serving.py
@@ -15,7 +15,7 @@
 from zope.interface import implementer
 
 from ..background.planner import Class
-from ..background.running import Background, Refused
+from ..background.running import Background, RefusedError
 from ..policy.words import Propose
 from . import pages
 
@@ -210,7 +210,7 @@
     def _failed(self, failure, request: Request) -> None:
         if failure.check(defer.CancelledError):
             return
-        if failure.check(Refused):
+        if failure.check(RefusedError):
             _answer(request, 503, b"text/plain", b"the console has too much to do\n")
             return
         self.console._count("pages failed")
--- a/petrelway/drill/__main__.py
+++ b/petrelway/drill/__main__.py
@@ -6,7 +6,7 @@
 import sys
 from typing import TextIO
 
-from .codec import Door, WireFault
+from .codec import Door, WireError
 
 
 def reply(doors: dict[str, Door], line: str) -> str:
@@ -16,7 +16,7 @@
         clock, items = batch["wallS"], batch["items"]
         turn = batch["turn"]
     except (ValueError, KeyError, TypeError) as error:
-        raise WireFault(f"not a batch: {error}") from error
+        raise WireError(f"not a batch: {error}") from error
     now = clock * 1e3
     awake: dict[str, None] = {}
     actions: list[list] = []
@@ -30,12 +30,12 @@
                 awake.pop(name, None)
                 continue
             elif name not in doors:
-                raise WireFault(f"event {kind!r} for {name!r}, which has not begun")
+                raise WireError(f"event {kind!r} for {name!r}, which has not begun")
             else:
                 doors[name].event(now, item)
             awake[name] = None
         except (IndexError, KeyError, TypeError, ValueError) as error:
-            raise WireFault(f"malformed event {item!r:.200}: {error!r}") from error
+            raise WireError(f"malformed event {item!r:.200}: {error!r}") from error
     for name in awake:
         try:
             actions.extend(doors[name].actions(now))
@@ -52,7 +52,7 @@
             continue
         try:
             sink.write(reply(doors, line) + "\n")
-        except WireFault as fault:
+        except WireError as fault:
             print(f"petrelway.drill: {fault}", file=sys.stderr)
             return 1
         sink.flush()
--- a/petrelway/drill/codec.py
+++ b/petrelway/drill/codec.py
@@ -6,7 +6,7 @@
 
 from ..indices import Ids
 from ..interface import Decision, Endpoint, Outcome, Stage, Verb, Warmth
-from ..terms import TermsFault, read_terms
+from ..terms import DeploymentSettingsError, read_terms
 
 STAGES = {"active": Stage.READY, "leaving": Stage.DRAINING, "left": Stage.GONE}
 OUTCOMES = {
@@ -22,7 +22,7 @@
 }
 
 
-class WireFault(Exception):
+class WireError(Exception):
     """A line that the wire page does not allow, in one plain sentence."""
 
 
@@ -34,8 +34,8 @@
         self.requests, self.executors, self.functions = Ids(), Ids(), Ids()
         try:
             self.front_end = read_terms(told).front_end(now, seed)
-        except TermsFault as fault:
-            raise WireFault(f"begin of {name}: {fault}") from fault
+        except DeploymentSettingsError as fault:
+            raise WireError(f"begin of {name}: {fault}") from fault
 
     def event(self, now: float, item: list) -> None:
         """Hand one event to the module as a call."""
@@ -47,7 +47,7 @@
                 front_end.function_named(now, function, str(fn), memory or 0.0, lanes or 1, start_ms or 0.0)
             hinted = cost_s if cost_s and (marks or 0) & 1 else 0.0
             if not 0 <= (request_class or 0) < len(front_end.request_classes):
-                raise WireFault(f"knock names class {request_class}, which the settings do not list")
+                raise WireError(f"knock names class {request_class}, which the settings do not list")
             request, _ = self.requests.enter(rid)
             front_end.request_taken(
                 now,
@@ -95,7 +95,7 @@
                     (delay or 0.0) * 1e3,
                 )
         elif kind not in ("firstByte", "inbox", "probeResult"):  # the module asks for none of these yet
-            raise WireFault(f"unknown event {kind!r}")
+            raise WireError(f"unknown event {kind!r}")
 
     def actions(self, now: float) -> list[list]:
         """Pull the module's decisions until there is none."""
@@ -132,7 +132,7 @@
     def _endpoint(self, entry: list) -> Endpoint:
         wire, zone, machine, cell, stage, weight, started = (entry + [None, None])[:7]
         if stage not in STAGES:
-            raise WireFault(f"topology names an unknown state {stage!r}")
+            raise WireError(f"topology names an unknown state {stage!r}")
         index, _ = self.executors.enter(wire)
         return Endpoint(
             index,
@@ -151,5 +151,5 @@
 
 def _outcome(code: str) -> Outcome:
     if code not in OUTCOMES:
-        raise WireFault(f"unknown outcome {code!r}")
+        raise WireError(f"unknown outcome {code!r}")
     return OUTCOMES[code]
--- a/petrelway/emulator/day.py
+++ b/petrelway/emulator/day.py
@@ -14,7 +14,7 @@
 from ..rehearsal.inmemory import Quiet
 from ..settings.days import check_day
 from ..settings.front import check_front_end
-from ..settings.reading import Fault, SettingsFault
+from ..settings.reading import Fault, SettingsError
 from ..standin.life import Life
 from ..standin.machine import Marks
 from ..standin.memory import Process, World
@@ -77,11 +77,11 @@
     def __init__(
         self, tree: dict[str, Any], kind: Callable[..., FrontEnd] = FrontEnd, sim: World | None = None
     ) -> None:
-        """Raises SettingsFault for a day that is none."""
+        """Raises SettingsError for a day that is none."""
         self.day = day = check_day("(emulated)", tree)
         if other_ways(day):
             fault = Fault("fleet_troubles", "a way to roster or executors", "members; on sockets only")
-            raise SettingsFault("(emulated)", [fault])
+            raise SettingsError("(emulated)", [fault])
         self.tree, self.kind, self.log = tree, kind, Quiet()
         self.sim = sim = sim or World()
         self.epoch_ms = sim.now_s * 1e3 + LEAD_MS
--- a/petrelway/emulator/experiment.py
+++ b/petrelway/emulator/experiment.py
@@ -20,7 +20,7 @@
 from ..rehearsal.baselines import POLICIES
 from ..settings.days import check_day
 from ..settings.front import Name, Strict
-from ..settings.reading import Fault, SettingsFault, evaluate, sections
+from ..settings.reading import Fault, SettingsError, evaluate, sections
 from .results import Results, load
 from .runs import made_by, run
 
@@ -65,7 +65,7 @@
     """What FILE asks for. `sample` 0: the whole grid; else so many points drawn from it."""
 
     def __init__(self, file: str, tree: dict[str, Any]) -> None:
-        """Raises SettingsFault; every day of the grid is checked."""
+        """Raises SettingsError; every day of the grid is checked."""
         self.file = file
         tree = {"axes": {}, "policies": ["petrelway"], "seeds": 3, "sample": 0, **tree}
         found = sections(file, tree, SHAPES, frozenset())
@@ -92,7 +92,7 @@
         if not faults and self.size() > RUNS_BOUND:
             faults.append(Fault("axes", f"{self.size()} runs", f"{RUNS_BOUND} at most"))
         if faults:
-            raise SettingsFault(file, faults)
+            raise SettingsError(file, faults)
         for point in self.points():
             if point.seed == 0 and point.policy == self.policies[0]:
                 check_day(file, point.tree)
@@ -151,7 +151,7 @@
 
 
 def put(file: str, tree: Any, path: str, value: Any) -> None:
-    """Set what a path such as `tenants.0.rate` names. Raises SettingsFault if there is no such place.
+    """Set what a path such as `tenants.0.rate` names. Raises SettingsError if there is no such place.
 
     >>> tree = {"tenants": [{"rate": 1}]}
     >>> put("x", tree, "tenants.0.rate", 5); put("x", tree, "traffic.rate", 7); tree
@@ -167,31 +167,31 @@
         else:
             at[last] = value
     except (ValueError, IndexError, TypeError, AttributeError) as error:
-        raise SettingsFault(file, [Fault(path, "no such place", "a path of the base day")]) from error
+        raise SettingsError(file, [Fault(path, "no such place", "a path of the base day")]) from error
 
 
 def read_experiment(file: str) -> Experiment:
-    """Raises SettingsFault."""
+    """Raises SettingsError."""
     return Experiment(file, evaluate(file))
 
 
-class RunFailed(Exception):
+class RunFailedError(Exception):
     """A run ended without its figures; its text says which, and why. What was played is saved."""
 
 
-class NotResumable(Exception):
+class NotResumableError(Exception):
     """Results are there that another experiment or commit made."""
 
 
 def open_results(experiment: Experiment, path: Path) -> Results:
-    """New ones, or those of an earlier run to go on with. Raises NotResumable, ResultsFault."""
+    """New ones, or those of an earlier run to go on with. Raises NotResumableError, ResultsFileError."""
     meta = {**made_by(), "experiment": experiment.fingerprint, "axes": list(experiment.axes)}
     if not path.exists():
         return Results(meta)
     found = load(path)
     for what in ("experiment", "decisions"):
         if found.meta.get(what) != meta[what]:
-            raise NotResumable(
+            raise NotResumableError(
                 f"{path.name}: found results of {what} {found.meta.get(what)!r}; allowed: {meta[what]!r}, "
                 "or another file"
             )
@@ -207,7 +207,7 @@
 ) -> None:
     """Play what is not yet in the results, one process a run on so many cores; saves as it goes.
 
-    Raises RunFailed.
+    Raises RunFailedError.
     """
     names = [AXIS + name for name in experiment.axes]
     done = {
@@ -236,7 +236,7 @@
                     try:
                         figures = future.result()
                     except Exception as error:  # a run that raises, or a process that the system ended
-                        raise RunFailed(f"{point.key()}: {error!r}") from error
+                        raise RunFailedError(f"{point.key()}: {error!r}") from error
                     row: dict[str, Any] = {AXIS + name: label for name, label in point.labels}
                     results.add({**row, "policy": point.policy, "seed": float(point.seed), **figures})
                     progress(results.count, experiment.size())
--- a/petrelway/emulator/fronts.py
+++ b/petrelway/emulator/fronts.py
@@ -16,7 +16,7 @@
 from ..standin.life import Life
 from ..standin.memory import Process, World
 from ..standin.roster import Book
-from ..wire.endpoint import Line
+from ..wire.registry_codec import EndpointEntry
 from .links import Cable, EmulatedLink
 from .network import Network
 from .sea import Sea
@@ -55,7 +55,7 @@
     def tell(self, complete: bool, lines) -> None:
         self.cable.carry(self._arrive, self.book.serial, complete, list(lines))
 
-    def _arrive(self, serial: int, complete: bool, lines: list[Line]) -> None:
+    def _arrive(self, serial: int, complete: bool, lines: list[EndpointEntry]) -> None:
         process = self.place.process
         if not process.dead:
             told = [[x.executor, x.stage, x.started_ms] for x in lines]
@@ -69,7 +69,7 @@
             )
         process.run(self._heard, serial, complete, lines)
 
-    def _heard(self, serial: int, complete: bool, lines: list[Line]) -> None:
+    def _heard(self, serial: int, complete: bool, lines: list[EndpointEntry]) -> None:
         if self not in self.book.followers:
             return
         if not complete and (self.serial is None or serial != self.serial + 1):
--- a/petrelway/emulator/policy_traffic.py
+++ b/petrelway/emulator/policy_traffic.py
@@ -32,7 +32,7 @@
 FUNCTIONS = 20
 
 
-class ChangeTimeout(Exception):
+class ChangeTimeoutError(Exception):
     """A change did not come to an end within CHANGE_LIMIT_S of simulated time."""
 
 
@@ -207,7 +207,7 @@
     def _change(self, count: int) -> tuple[str, ...]:
         """Until the operators were told how each change ended, and each adopted one is active everywhere.
 
-        Raises ChangeTimeout.
+        Raises ChangeTimeoutError.
         """
         first_base = self.version()
         proposals: list[tuple[str, int, str]] = []
@@ -220,7 +220,9 @@
             if all(progress.state != "under way" for progress in found) and self._active_everywhere(found):
                 return tuple(progress.state for progress in found)
             self.run_for(POLL_S)
-        raise ChangeTimeout(f"{count} changes at {self.size} members did not end in {CHANGE_LIMIT_S:g} s")
+        raise ChangeTimeoutError(
+            f"{count} changes at {self.size} members did not end in {CHANGE_LIMIT_S:g} s"
+        )
 
     def _active_everywhere(self, found: list[Progress]) -> bool:
         """Whether each live member runs under the latest adopted version."""
--- a/petrelway/emulator/results.py
+++ b/petrelway/emulator/results.py
@@ -14,7 +14,7 @@
 ROWS_BOUND = 1_000_000
 
 
-class ResultsFault(Exception):
+class ResultsFileError(Exception):
     """A file that can't be read as results: which, what was found, what is allowed."""
 
 
@@ -60,23 +60,23 @@
 
 
 def load(path: Path) -> Results:
-    """Raises ResultsFault."""
+    """Raises ResultsFileError."""
     try:
         with np.load(path, allow_pickle=False) as file:
             meta = json.loads(str(file[META]))
             if meta.pop("format") != FORMAT:
-                raise ResultsFault(f"{path.name}: found another format; allowed: {FORMAT}")
+                raise ResultsFileError(f"{path.name}: found another format; allowed: {FORMAT}")
             found = Results(meta)
             arrays = {name: file[name] for name in file.files if name != META}
-    except ResultsFault:
+    except ResultsFileError:
         raise
     except Exception as error:  # danger: damaged bytes make zip and numpy raise whatever they meet
-        raise ResultsFault(
+        raise ResultsFileError(
             f"{path.name}: found {error!r}; allowed: results of `petrelway experiment`"
         ) from error
     lengths = {len(a) if a.ndim == 1 else -1 for a in arrays.values()}
     if len(lengths) > 1 or -1 in lengths:
-        raise ResultsFault(f"{path.name}: found columns of {sorted(lengths)} rows; allowed: one length")
+        raise ResultsFileError(f"{path.name}: found columns of {sorted(lengths)} rows; allowed: one length")
     found.columns = {name: a.tolist() for name, a in arrays.items()}
     found.count = lengths.pop() if lengths else 0
     return found
--- a/petrelway/listing.py
+++ b/petrelway/endpoint_entry.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Line(NamedTuple):
+class EndpointEntry(NamedTuple):
     """One executor process as the list names it; `started_ms` is wall-clock time, 0 for long ago."""
 
     executor: str
--- a/petrelway/events/single.py
+++ b/petrelway/events/single.py
@@ -22,7 +22,7 @@
 REQUIRED = ("id", "source", "type")
 
 
-class EventFault(Exception):
+class EventError(Exception):
     """An event that can't be taken: HTTP status, what is wrong, where, and what is allowed."""
 
     def __init__(self, status: int, where: str, found: str, allowed: str) -> None:
@@ -37,7 +37,7 @@
 
 
 def read(headers: Mapping[str, str], body: bytes) -> Event:
-    """An event from lower-case HTTP headers and a body. Raises EventFault (status 400 or 415).
+    """An event from lower-case HTTP headers and a body. Raises EventError (status 400 or 415).
 
     >>> event = read({"ce-specversion": "1.0", "ce-id": "7", "ce-source": "/gw", "ce-type": "reading",
     ...               "content-type": "text/plain"}, b"12")
@@ -45,23 +45,23 @@
     ('7', b'12')
     >>> read({"content-type": "application/cloudevents+json"}, b'{"id": 1}')
     Traceback (most recent call last):
-    petrelway.events.single.EventFault: specversion: found nothing; allowed: '1.0'
+    petrelway.events.single.EventError: specversion: found nothing; allowed: '1.0'
     """
     content_type = headers.get("content-type", "")
     media = content_type.partition(";")[0].strip().lower()
     if media == STRUCTURED:
         event = _structured(body)
     elif media.startswith("application/cloudevents"):
-        raise EventFault(415, "content-type", repr(media), f"{STRUCTURED}, or binary mode")
+        raise EventError(415, "content-type", repr(media), f"{STRUCTURED}, or binary mode")
     else:
         event = _binary(headers, content_type, body)
     attributes = event.attributes
     if attributes.get("specversion") != "1.0":
         found = repr(attributes["specversion"]) if "specversion" in attributes else "nothing"
-        raise EventFault(400, "specversion", found, "'1.0'")
+        raise EventError(400, "specversion", found, "'1.0'")
     for name in REQUIRED:
         if not attributes.get(name):
-            raise EventFault(400, name, "nothing", "a string that is not empty")
+            raise EventError(400, name, "nothing", "a string that is not empty")
     return event
 
 
@@ -74,7 +74,7 @@
             try:
                 attributes[name] = unquote(value.strip().strip('"'), errors="strict")
             except UnicodeDecodeError as error:
-                raise EventFault(400, header, repr(value[:80]), "percent-encoded UTF-8") from error
+                raise EventError(400, header, repr(value[:80]), "percent-encoded UTF-8") from error
     _few(attributes)
     return Event(attributes, content_type, body)
 
@@ -83,11 +83,11 @@
     try:
         found = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise EventFault(400, "body", f"no JSON ({error})", "one event as a JSON object") from error
+        raise EventError(400, "body", f"no JSON ({error})", "one event as a JSON object") from error
     if not isinstance(found, dict):
-        raise EventFault(400, "body", type(found).__name__, "one event as a JSON object")
+        raise EventError(400, "body", type(found).__name__, "one event as a JSON object")
     if "data" in found and "data_base64" in found:
-        raise EventFault(400, "data_base64", "data as well", "one of data and data_base64")
+        raise EventError(400, "data_base64", "data as well", "one of data and data_base64")
     attributes = {}
     for name, value in found.items():
         if name in ("data", "data_base64") or value is None:
@@ -97,7 +97,7 @@
         elif isinstance(value, (int, float)):
             value = repr(value)
         elif not isinstance(value, str):
-            raise EventFault(400, name, type(value).__name__, "a string, a number, true or false")
+            raise EventError(400, name, type(value).__name__, "a string, a number, true or false")
         _check(name, value)
         attributes[name] = value
     _few(attributes)
@@ -106,7 +106,7 @@
         try:
             data = base64.b64decode(found["data_base64"], validate=True)
         except (binascii.Error, ValueError, TypeError) as error:
-            raise EventFault(400, "data_base64", "no base64", "base64 text") from error
+            raise EventError(400, "data_base64", "no base64", "base64 text") from error
     elif "data" not in found:
         data = b""
     elif isinstance(found["data"], str) and not _is_json(content_type):
@@ -123,13 +123,13 @@
 
 def _check(name: str, value: str) -> None:
     if not ATTRIBUTE.match(name):
-        raise EventFault(
+        raise EventError(
             400, f"attribute {name[:80]!r}", "that name", "1 to 64 lower-case letters and digits"
         )
     if len(value) > VALUE_BOUND:
-        raise EventFault(400, name, f"{len(value)} characters", f"{VALUE_BOUND} at most")
+        raise EventError(400, name, f"{len(value)} characters", f"{VALUE_BOUND} at most")
 
 
 def _few(attributes: dict[str, str]) -> None:
     if len(attributes) > ATTRIBUTES_BOUND:
-        raise EventFault(400, "attributes", f"{len(attributes)}", f"{ATTRIBUTES_BOUND} at most")
+        raise EventError(400, "attributes", f"{len(attributes)}", f"{ATTRIBUTES_BOUND} at most")
--- a/petrelway/fleet/members.py
+++ b/petrelway/fleet/members.py
@@ -183,7 +183,7 @@
                 self._answered(word.number)
 
     def tried(self, now: float, member: int, began_ms: float, refused: bool) -> None:
-        """The end of a try of its port. Refused: no process has it, and whoever starts there waits
+        """The end of a try of its port. RefusedError: no process has it, and whoever starts there waits
         (parts.py)."""
         self._turned(now)
         m = self.others.get(member)
--- a/petrelway/fleet/service.py
+++ b/petrelway/fleet/service.py
@@ -21,7 +21,7 @@
 from ..sockets.listening import listen_tcp
 from .members import Members, Verb, Whole
 from .parts import Held, Parts
-from .words import Start, State, WordFault, digest, read, write
+from .words import Start, State, MessageError, digest, read, write
 
 DIAL_S = 2.0  # a try that has not ended by then says nothing
 BACKLOG = 512  # connections that wait in the system's queue
@@ -152,9 +152,9 @@
         sender = self.at.get(address)
         try:
             if sender is None:
-                raise WordFault("no peer's address")
+                raise MessageError("no peer's address")
             word = read(data)
-        except WordFault as fault:
+        except MessageError as fault:
             self._dropped(str(fault), address)
             return
         self.members.heard(self.now(), sender, word)
--- a/petrelway/fleet/words.py
+++ b/petrelway/fleet/words.py
@@ -74,7 +74,7 @@
     version: int = 0  # of the terms that the sender runs under; a section, left out where it is 0
 
 
-class WordFault(Exception):
+class MessageError(Exception):
     """Bytes that are no word of ours; its text is a reason out of a few."""
 
 
@@ -116,21 +116,21 @@
 
 
 def read(data: bytes) -> Word:
-    """Raises WordFault."""
+    """Raises MessageError."""
     if not HEAD.size + CHECK.size <= len(data) <= DATAGRAM_BOUND:
-        raise WordFault("length")
+        raise MessageError("length")
     body = data[: -CHECK.size]
     if data[:2] != MARK:
-        raise WordFault("mark")
+        raise MessageError("mark")
     if CHECK.unpack(data[-CHECK.size :])[0] != zlib.crc32(body):
-        raise WordFault("check")
+        raise MessageError("check")
     _, version, kind, fleet, sender, incarnation, token, peers, view, number, about, count = HEAD.unpack_from(
         body
     )
     if version != VERSION:
-        raise WordFault("version")
+        raise MessageError("version")
     if HEAD.size + count * NEWS.size > len(body):
-        raise WordFault("news cut off")
+        raise MessageError("news cut off")
     try:
         news = tuple(
             News(member, Start(i, t), State(state))
@@ -140,16 +140,16 @@
         start = Start(incarnation, token)
         return Word(Kind(kind), fleet, sender, start, peers, view, number, about, news, version)
     except ValueError as error:
-        raise WordFault("unknown kind or state") from error
+        raise MessageError("unknown kind or state") from error
 
 
 def _sections(data: bytes) -> int:
     """Sections, each `name:1 length:1` and so many bytes: that of the terms; others, of later versions, are
-    passed over. Raises WordFault."""
+    passed over. Raises MessageError."""
     at = version = 0
     while at < len(data):
         if at + 2 > len(data) or at + 2 + data[at + 1] > len(data):
-            raise WordFault("section cut off")
+            raise MessageError("section cut off")
         if data[at] == TERMS_NAME and data[at + 1] == 4:
             version = int.from_bytes(data[at + 2 : at + 6], "big")
         at += 2 + data[at + 1]
--- a/petrelway/front/ask.py
+++ b/petrelway/front/ask.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from ..events.single import Event, EventFault
+from ..events.single import Event, EventError
 from .host import Function
 
 
@@ -41,7 +41,7 @@
 
 
 class Asks:
-    """Reads asks from events, by the names that the settings give. Raises EventFault (status 400 or 422)."""
+    """Reads asks from events, by the names that the settings give. Raises EventError (status 400 or 422)."""
 
     def __init__(
         self,
@@ -63,26 +63,26 @@
         told = event.attributes
         name = told.get("tariff", "")
         if name not in self.request_classes:
-            raise EventFault(422, "tariff", repr(name), "one of " + ", ".join(self.request_classes))
+            raise EventError(422, "tariff", repr(name), "one of " + ", ".join(self.request_classes))
         request_class, deadline_ms = self.request_classes[name]
         name = told.get("customer", "")
         if self.tenants and name not in self.tenants:
-            raise EventFault(422, "customer", repr(name), "one that the settings list")
+            raise EventError(422, "customer", repr(name), "one that the settings list")
         tenant = self.tenants.get(name, 0)
         name = told.get("function", "")
         function = self.catalogue.find(name) if name else None
         if function is None:
-            raise EventFault(422, "function", repr(name), "one that the settings list, by name or pattern")
+            raise EventError(422, "function", repr(name), "one that the settings list, by name or pattern")
         remaining_ms = min(deadline_ms, _amount(told, "timeleft", deadline_ms))
         if remaining_ms <= 0.0:
-            raise EventFault(422, "timeleft", told["timeleft"], "more than 0 ms")
+            raise EventError(422, "timeleft", told["timeleft"], "more than 0 ms")
         repeat = told.get("repeat", "false")
         if repeat not in ("true", "false"):
-            raise EventFault(400, "repeat", repr(repeat), "true or false")
+            raise EventError(400, "repeat", repr(repeat), "true or false")
         # danger: source and id joined without a mark between could make two events one
         mark = f"{told['source']}\n{told['id']}"
         if len(mark) > 512:
-            raise EventFault(400, "id", f"{len(mark)} characters with source", "512 at most")
+            raise EventError(400, "id", f"{len(mark)} characters with source", "512 at most")
         return Ask(
             request_class,
             tenant,
@@ -102,5 +102,5 @@
     except ValueError:
         amount = math.nan
     if not (math.isfinite(amount) and amount >= 0.0):
-        raise EventFault(400, name, repr(told[name]), "a number of ms, 0 or more")
+        raise EventError(400, name, repr(told[name]), "a number of ms, 0 or more")
     return amount
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -17,7 +17,7 @@
 from ..choice import FrontEnd
 from ..indices import Ids
 from ..interface import Tenant, Decision, Endpoint, Outcome, Permits, Stage, RequestClass, Verb, Warmth
-from ..endpoint import Line
+from ..endpoint_entry import EndpointEntry
 from ..start_times import StartTimes
 from ..wire import codec
 from .links import Link
@@ -244,7 +244,7 @@
         self._soon()
         return answer
 
-    def executors_listed(self, lines: list[Line], complete: bool) -> None:
+    def executors_listed(self, lines: list[EndpointEntry], complete: bool) -> None:
         """The roster's word. A link is made for each executor that it names."""
         self.look_at_wall_clock()
         now, endpoints = self.now(), []
@@ -298,7 +298,7 @@
         for executor, started_ms in self.starts.all_own_ms().items():
             self.front_end.start_told(now, self.executors.index[executor], started_ms)
 
-    def _note_change(self, now: float, index: int, line: Line, started_ms: float) -> None:
+    def _note_change(self, now: float, index: int, line: EndpointEntry, started_ms: float) -> None:
         known = self.front_end.executors.get(index)
         if known is None:
             self.watch.changed(now, "executor listed", f"{line.executor} {line.stage} in {line.zone}")
--- a/petrelway/front/intake.py
+++ b/petrelway/front/intake.py
@@ -15,7 +15,7 @@
 from twisted.internet import defer
 from twisted.web import resource, server
 
-from ..events.single import EventFault, read
+from ..events.single import EventError, read
 from .ask import Ask, Asks
 from .host import FAILED, SUCCEEDED, REJECTED, Answer
 
@@ -160,7 +160,7 @@
         try:
             event = read(headers, request.content.read())
             ask = intake.asks.read(event)
-        except EventFault as fault:
+        except EventError as fault:
             return self._refuse(request, fault.status, fault.where, fault.found, fault.allowed)
         retry_ms = intake.guard(ask)
         if retry_ms > 0.0:
--- a/petrelway/front/links.py
+++ b/petrelway/front/links.py
@@ -15,7 +15,7 @@
 
 from ..interface import Outcome
 from ..wire import codec
-from ..wire.framing import Frames, WireFault
+from ..wire.framing import Frames, WireError
 from .backoff import Backoff
 from .link_base import BUFFER_BYTES, CLOGGED_MS, LinkListener, Question, SocketLinkReports
 from .end_reasons import EndReason, failure_reason
@@ -49,7 +49,7 @@
         try:
             for payload in self.frames.feed(data):
                 codec.from_executor(payload, self.link)
-        except WireFault as fault:
+        except WireError as fault:
             self.link.faulted(str(fault))
             self.transport.abortConnection()
 
@@ -240,7 +240,7 @@
 
     def welcomed(self, executor: str, process: str, machine: str, started_ms: float) -> None:
         if executor != self.stable:  # danger: a port used anew by another executor must not be trusted
-            raise WireFault(
+            raise WireError(
                 f"{self.address}:{self.port} says it is {executor!r}, the roster says {self.stable!r}"
             )
         self._stop_timer()
--- a/petrelway/front/roster.py
+++ b/petrelway/front/roster.py
@@ -8,8 +8,8 @@
 from twisted.internet import interfaces, protocol
 from twisted.python.failure import Failure
 
-from ..wire import endpoint
-from ..wire.framing import Frames, WireFault
+from ..wire import registry_codec
+from ..wire.framing import Frames, WireError
 from .backoff import Backoff
 
 CONNECT_TIMEOUT_MS = 1000.0
@@ -27,8 +27,8 @@
     def dataReceived(self, data: bytes) -> None:
         try:
             for payload in self.frames.feed(data):
-                self.follower.listed(*endpoint.from_roster(payload))
-        except WireFault as fault:
+                self.follower.listed(*registry_codec.from_roster(payload))
+        except WireError as fault:
             self.follower.reason = str(fault)
             self.transport.abortConnection()
 
@@ -48,7 +48,7 @@
         clock: interfaces.IReactorTime,
         connect: Callable,
         chance: random.Random,
-        heard: Callable[[list[endpoint.Line], bool], None],
+        heard: Callable[[list[registry_codec.EndpointEntry], bool], None],
         log,
     ) -> None:
         self.front_end, self.process, self.address, self.port = front_end, process, address, port
@@ -75,12 +75,12 @@
             wire.transport.abortConnection()
             return
         self.wire, self.serial, self.reason = wire, None, ""
-        wire.transport.write(endpoint.follow(self.front_end, self.process))
+        wire.transport.write(registry_codec.follow(self.front_end, self.process))
 
-    def listed(self, serial: int, complete: bool, lines: list[endpoint.Line]) -> None:
+    def listed(self, serial: int, complete: bool, lines: list[registry_codec.EndpointEntry]) -> None:
         if not complete and (self.serial is None or serial != self.serial + 1):
             # danger: a lost change could be a drain; the old list holds until the full one is here
-            raise WireFault(f"changes {serial} after list {self.serial}: a gap")
+            raise WireError(f"changes {serial} after list {self.serial}: a gap")
         self.serial = serial
         self.backoff.succeeded()
         if self.said_down:
--- a/petrelway/front/service.py
+++ b/petrelway/front/service.py
@@ -180,11 +180,11 @@
     def _made(self, document: str) -> tuple[Any, bool]:
         """All that taking requests under this document needs. Raises ValueError."""
         from ..policy.document import read
-        from ..settings.reading import SettingsFault
+        from ..settings.reading import SettingsError
 
         try:
             found = read(document, self.found)
-        except SettingsFault as fault:
+        except SettingsError as fault:
             raise ValueError(str(fault)) from fault
         return (terms.make(found, self.made), document), found["adoption"].silent == "stop"
 
--- a/petrelway/load/arrivals.py
+++ b/petrelway/load/arrivals.py
@@ -23,7 +23,7 @@
     size_ms: float
 
 
-class TraceFault(Exception):
+class TraceError(Exception):
     """A trace that can't be played: file, line, what was found, what is allowed."""
 
 
@@ -104,29 +104,29 @@
 
 def from_trace(path: Path) -> Iterator[Due]:
     """A trace in order of time: JSON lines with t (ms), f, w (ms), or CSV with the columns time (s),
-    function, size (ms). Raises TraceFault."""
+    function, size (ms). Raises TraceError."""
     before = 0.0
     try:
         with open(path, newline="", encoding="utf-8") as file:
             reader = _csv(path, file) if path.suffix == ".csv" else _lines(path, file)
             for number, due in reader:
                 if due.at_ms < before:
-                    raise TraceFault(
+                    raise TraceError(
                         f"{path.name}, line {number}: found {due.at_ms:g} ms after {before:g} ms; "
                         "allowed: times in order"
                     )
                 if number > TRACE_BOUND:
-                    raise TraceFault(f"{path.name}: found more lines; allowed: {TRACE_BOUND} at most")
+                    raise TraceError(f"{path.name}: found more lines; allowed: {TRACE_BOUND} at most")
                 before = due.at_ms
                 yield due
     except (OSError, UnicodeDecodeError, csv.Error) as error:
-        raise TraceFault(f"{path.name}: found {error}; allowed: a trace that can be read") from error
+        raise TraceError(f"{path.name}: found {error}; allowed: a trace that can be read") from error
 
 
 def _csv(path: Path, file) -> Iterator[tuple[int, Due]]:
     reader = csv.DictReader(file)
     if not {"time", "function"} <= set(reader.fieldnames or ()):
-        raise TraceFault(
+        raise TraceError(
             f"{path.name}, line 1: found {', '.join(reader.fieldnames or ())}; allowed: time, function, size"
         )
     for row in reader:
@@ -144,7 +144,7 @@
             row = json.loads(text)
             at, function, size = row["t"], row["f"], row.get("w")
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            raise TraceFault(
+            raise TraceError(
                 f"{path.name}, line {number}: found {error!r}; allowed: an object with t, f and w"
             ) from error
         yield number, _due(path, number, at, 1.0, function, size)
@@ -157,7 +157,7 @@
     except (TypeError, ValueError):
         good = False
     if not good or not function:
-        raise TraceFault(
+        raise TraceError(
             f"{path.name}, line {number}: found {at!r}, {function!r}, {size!r}; allowed: a time and a size "
             "of 0 or more, and a name"
         )
--- a/petrelway/load/plan.py
+++ b/petrelway/load/plan.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from ..settings.front import Ms, Name, Some, Strict
-from ..settings.reading import Fault, SettingsFault, evaluate, sections
+from ..settings.reading import Fault, SettingsError, evaluate, sections
 from .arrivals import Due, Rate, drawn, from_trace
 
 
@@ -62,7 +62,7 @@
     """A checked load file."""
 
     def __init__(self, file: str, tree: dict[str, Any]) -> None:
-        """Raises SettingsFault."""
+        """Raises SettingsError."""
         found = sections(file, tree, SHAPES, frozenset(("functions", "sizes", "attributes", "how")))
         self.folder = Path(file).parent
         self.told: Arrivals = found["arrivals"]
@@ -75,10 +75,10 @@
         if not self.told.trace and not self.functions:
             faults.append(Fault("functions", "none", "at least one, unless a trace names them"))
         if faults:
-            raise SettingsFault(file, faults)
+            raise SettingsError(file, faults)
 
     def due(self) -> Iterator[Due]:
-        """All requests in order; the same each time. Raises TraceFault as it reads."""
+        """All requests in order; the same each time. Raises TraceError as it reads."""
         told = self.told
         if told.trace:
             return itertools.takewhile(
@@ -105,5 +105,5 @@
 
 
 def read_load(file: str) -> LoadPlan:
-    """Raises SettingsFault."""
+    """Raises SettingsError."""
     return LoadPlan(file, evaluate(file))
--- a/petrelway/load/running.py
+++ b/petrelway/load/running.py
@@ -16,7 +16,7 @@
 QUANTILES = (50, 90, 99, 99.9)
 
 
-class LoadFailed(Exception):
+class LoadRunError(Exception):
     """A part of the load ended without its figures; its text says why."""
 
 
@@ -46,9 +46,9 @@
         reactor.callWhenRunning(begin)
         reactor.run()
         if failed:
-            raise LoadFailed(failed[0])
+            raise LoadRunError(failed[0])
         pipe.send(part_of(sender))
-    except (LoadFailed, OSError) as problem:
+    except (LoadRunError, OSError) as problem:
         pipe.send(str(problem))
 
 
@@ -92,7 +92,7 @@
 
 
 def play(file: str, plan: LoadPlan, port: int) -> dict[str, Any]:
-    """Play the load against a port of this machine. Raises LoadFailed."""
+    """Play the load against a port of this machine. Raises LoadRunError."""
     context = multiprocessing.get_context("spawn")
     share_scale()
     epoch = process_clock().seconds() + LEAD_S
@@ -112,7 +112,7 @@
             problems.append("a process of the load died")
         process.join()
     if problems:
-        raise LoadFailed(problems[0])
+        raise LoadRunError(problems[0])
     return merged(parts)
 
 
--- a/petrelway/load/sender.py
+++ b/petrelway/load/sender.py
@@ -11,7 +11,7 @@
 from twisted.internet import defer, interfaces
 
 from ..standin.clients import Asker, Pool
-from .arrivals import Due, TraceFault
+from .arrivals import Due, TraceError
 
 MOST_MS = 3_600_000
 TICK_MS = 0.1  # what is due within this time is sent together
@@ -65,7 +65,7 @@
     def _go_on(self) -> None:
         try:
             self.next = next(self.arrivals, None)
-        except TraceFault:  # danger: raised into the reactor it would leave the load waiting for ever
+        except TraceError:  # danger: raised into the reactor it would leave the load waiting for ever
             self.next = None
             if not self.done.called:
                 self.done.errback()
--- a/petrelway/node/door.py
+++ b/petrelway/node/door.py
@@ -15,7 +15,7 @@
 from ..front.host import SUCCEEDED, REJECTED, Answer, PendingAnswer
 from ..obligations.client_connection import OPEN_BOUND, ClientConnection, CloseReason, Phase
 from ..platform import lines
-from ..platform.lines import LineFault
+from ..platform.lines import ClientLineError
 from ..platform.passed import Passed
 
 LINES_A_TURN = 8  # of one connection; the others come first then
@@ -75,7 +75,7 @@
                     self._read_all()
                     return
                 self._line(line)
-            except LineFault as fault:
+            except ClientLineError as fault:
                 self.fault(fault)
         if self.state.reading:
             self.held = True
@@ -121,7 +121,9 @@
     def numbered(self, number: int) -> None:
         if not self.state.used.enter(number):
             # danger: an error under this number would be a second answer to the one that had it first
-            raise LineFault(None, lines.NOT_A_REQUEST, "an id that was used on this connection", last=True)
+            raise ClientLineError(
+                None, lines.NOT_A_REQUEST, "an id that was used on this connection", last=True
+            )
 
     def asked(
         self,
@@ -137,11 +139,13 @@
     ) -> None:
         door = self.door
         if len(self.state.open) >= OPEN_BOUND:
-            raise LineFault(number, lines.NOT_A_REQUEST, f"over {OPEN_BOUND} requests open on one connection")
+            raise ClientLineError(
+                number, lines.NOT_A_REQUEST, f"over {OPEN_BOUND} requests open on one connection"
+            )
         if passed.call in door.calls:
             # danger: the other one may be somebody else's, who must not notice; our own is a client's fault
             ours = door.calls[passed.call][0] is self
-            raise LineFault(number, lines.BAD_PARAMS, "call: open already", last=ours)
+            raise ClientLineError(number, lines.BAD_PARAMS, "call: open already", last=ours)
         # one that reads no answers gets no further work done for it
         unread = self.state.unread_since_ms is not None
         retry_ms = door.retry_ms if unread else door.refuse(tenant)
@@ -194,7 +198,7 @@
         self._close_if_settled()
         self.leave()
 
-    def fault(self, fault: LineFault) -> None:
+    def fault(self, fault: ClientLineError) -> None:
         reason = self.state.fault(fault.last)
         self.door.faulted(fault)
         self.transport.write(lines.faulted(fault))
@@ -338,7 +342,7 @@
             empty, self.empty = self.empty, None
             empty.callback(None)
 
-    def faulted(self, fault: LineFault) -> None:
+    def faulted(self, fault: ClientLineError) -> None:
         self.counts["lines that can't be taken"] += 1
         self.say("line that can't be taken", str(fault).partition(":")[0], reason=str(fault))
 
@@ -363,7 +367,7 @@
         for c in callers:
             reason = c.quiet(now)
             if reason is CloseReason.HALF_LINE:
-                c.transport.write(lines.faulted(LineFault(None, lines.NOT_A_REQUEST, reason)))
+                c.transport.write(lines.faulted(ClientLineError(None, lines.NOT_A_REQUEST, reason)))
             if reason is not None:
                 c.end(reason)
 
--- a/petrelway/node/follower.py
+++ b/petrelway/node/follower.py
@@ -9,9 +9,9 @@
 from twisted.python.failure import Failure
 
 from ..front.backoff import Backoff
-from ..endpoint import Line
+from ..endpoint_entry import EndpointEntry
 from ..platform.bus import Bus, resume
-from ..platform.faults import PlatformFault
+from ..platform.faults import ProtocolError
 
 CONNECT_TIMEOUT_MS = 500.0
 SILENCE_MS = 1700.0  # its heartbeat comes each second; without one for so long it has stopped
@@ -33,7 +33,7 @@
             return
         try:
             self.bus.feed(data)
-        except PlatformFault as fault:
+        except ProtocolError as fault:
             self.follower.broke(self, str(fault))
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
@@ -52,7 +52,7 @@
         clock: interfaces.IReactorTime,
         connect: Callable,
         chance: random.Random,
-        heard: Callable[[list[Line], bool], None],
+        heard: Callable[[list[EndpointEntry], bool], None],
         log,
     ) -> None:
         self.address, self.port, self.zones, self.machines = address, port, zones, machines
@@ -67,14 +67,14 @@
         self.steady = True  # it spoke for a while: the first try after a break goes without delay
 
     def start(self, known) -> None:
-        """Read the events of the start, then follow. Raises PlatformFault if they can't be read."""
+        """Read the events of the start, then follow. Raises ProtocolError if they can't be read."""
         if known:
             Bus(self.zones, self.machines, self).known(known)
         self._dial()
 
     # -- what the bus says
 
-    def listed(self, number: int, complete: bool, lines: list[Line]) -> None:
+    def listed(self, number: int, complete: bool, lines: list[EndpointEntry]) -> None:
         self._alive()
         if number <= self.number:
             return  # told twice
@@ -94,7 +94,7 @@
         """Danger: a lost change could be a drain; ask again from the last good one, once."""
         if self.gap_at != self.number:
             self.gap_at = self.number
-            raise PlatformFault(text)
+            raise ProtocolError(text)
 
     def _alive(self) -> None:
         if self.wire is None:
--- a/petrelway/node/links.py
+++ b/petrelway/node/links.py
@@ -22,7 +22,7 @@
 from ..front.proof import Key, Ledger
 from ..interface import Outcome, Warmth
 from ..platform import frames
-from ..platform.faults import PlatformFault
+from ..platform.faults import ProtocolError
 from ..platform.passed import Passed
 
 SWEEP_MS = 250.0  # connections are looked over this often
@@ -86,7 +86,7 @@
         link.backoff.succeeded()
         try:
             self.frames.feed(data)
-        except PlatformFault:
+        except ProtocolError:
             link.room.counts["answers that can't be read"] += 1
             link.drop(self, EndReason.UNREADABLE)
             return
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -18,8 +18,8 @@
 from ..front.dialling import connector
 from ..front.host import Function, Host, PendingAnswer
 from ..interface import Idempotency
-from ..endpoint import Line
-from ..platform.faults import PlatformFault
+from ..endpoint_entry import EndpointEntry
+from ..platform.faults import ProtocolError
 from ..platform.lines import Asks
 from ..platform.passed import Passed
 from ..platform.told import Told, read_peers, read_told
@@ -90,7 +90,7 @@
         return self.reactor.seconds() * 1e3
 
     def startService(self) -> None:
-        """Raises twisted.internet.error.CannotListenError, or PlatformFault if `known` can't be read."""
+        """Raises twisted.internet.error.CannotListenError, or ProtocolError if `known` can't be read."""
         told, terms = self.told, self.told.terms
         chance = random.Random(f"{told.seed}/{told.name}/node")
         sockets = descriptors(told.sockets)
@@ -174,7 +174,7 @@
 
     # -- the list of executors
 
-    def listed(self, lines: list[Line], complete: bool) -> None:
+    def listed(self, lines: list[EndpointEntry], complete: bool) -> None:
         host = self.host
         host.executors_listed(lines, complete)
         named = {line.executor: line for line in lines}
@@ -244,14 +244,14 @@
         try:
             told = read_told(self.read())
             if named(told) != named(self.told):
-                raise PlatformFault("another front end's, or other classes, tenants, zones or kinds")
+                raise ProtocolError("another front end's, or other classes, tenants, zones or kinds")
         except OSError as problem:
             self.counts["unreadable"] += 1
             self._refused(str(problem))
             if tries > 1 and not self.stopping:
                 self.reading = self.reactor.callLater(RELOAD_AGAIN_MS / 1e3, self._read_again, tries - 1)
             return
-        except PlatformFault as fault:
+        except ProtocolError as fault:
             self.counts["refused"] += 1
             self._refused(str(fault))
             return
--- a/petrelway/platform/bus.py
+++ b/petrelway/platform/bus.py
@@ -12,8 +12,8 @@
 from struct import Struct
 from typing import Any, Protocol
 
-from ..endpoint import Line
-from .faults import PlatformFault
+from ..endpoint_entry import EndpointEntry
+from .faults import ProtocolError
 
 HEAD = Struct(">IQB")
 NUMBER = Struct(">Q")
@@ -28,7 +28,7 @@
 class BusEars(Protocol):
     """What the bus says; numbers count up from 1."""
 
-    def listed(self, number: int, complete: bool, lines: list[Line]) -> None: ...
+    def listed(self, number: int, complete: bool, lines: list[EndpointEntry]) -> None: ...
 
     def nothing_new(self, number: int) -> None: ...
 
@@ -46,7 +46,7 @@
         self.held = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Raises PlatformFault at what can't be read."""
+        """Raises ProtocolError at what can't be read."""
         held = self.held
         held += data
         start = 0
@@ -55,7 +55,7 @@
                 length, number, kind = HEAD.unpack_from(held, start)
                 payload = length - 9
                 if not 0 <= payload <= LENGTH_BOUND or payload % RECORD.size or kind > CHANGES:
-                    raise PlatformFault(f"no event has length {length} and kind {kind}")
+                    raise ProtocolError(f"no event has length {length} and kind {kind}")
                 at = start + HEAD.size
                 if len(held) < at + payload:
                     return
@@ -79,10 +79,10 @@
         cell: int,
         weight: int,
         started_ms: int,
-    ) -> Line:
+    ) -> EndpointEntry:
         if stage >= len(STAGES) or zone >= max(1, len(self.zones)) or machine >= max(1, len(self.machines)):
-            raise PlatformFault(f"executor {id:08x} has state {stage}, zone {zone}, kind {machine}")
-        return Line(
+            raise ProtocolError(f"executor {id:08x} has state {stage}, zone {zone}, kind {machine}")
+        return EndpointEntry(
             f"s-{id:08x}",
             ".".join(map(str, address)),
             port,
@@ -95,7 +95,7 @@
         )
 
     def known(self, told: Any) -> None:
-        """The events of the start, in JSON, as the same calls. Raises PlatformFault."""
+        """The events of the start, in JSON, as the same calls. Raises ProtocolError."""
         try:
             last = int(told["offset"])
             events = [
@@ -107,20 +107,20 @@
                 for event in told["batch"]
             ]
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise PlatformFault(f"known: {error!r}") from error
+            raise ProtocolError(f"known: {error!r}") from error
         for event in events:
             self.ears.listed(*event)
         self.ears.nothing_new(last)
 
-    def _named(self, target: dict[str, Any]) -> Line:
+    def _named(self, target: dict[str, Any]) -> EndpointEntry:
         address, port = target["endpoint"].rsplit(":", 1)
         zone, machine = str(target.get("az", "")), str(target.get("model", ""))
         if self.zones and zone not in self.zones or self.machines and machine not in self.machines:
-            raise PlatformFault(f"known: {target['uid']!r} is in {zone!r} of kind {machine!r}")
+            raise ProtocolError(f"known: {target['uid']!r} is in {zone!r} of kind {machine!r}")
         weight, started_ms = float(target.get("capacity_hint") or 1.0), float(target.get("boot_ms") or 0.0)
         if not (math.isfinite(weight) and math.isfinite(started_ms) and 0 < int(port) < 65536):
-            raise PlatformFault(f"known: {target['uid']!r} has figures that can't be used")
-        return Line(
+            raise ProtocolError(f"known: {target['uid']!r} has figures that can't be used")
+        return EndpointEntry(
             str(target["uid"]),
             address,
             int(port),
--- a/petrelway/platform/faults.py
+++ b/petrelway/platform/faults.py
@@ -1,5 +1,5 @@
 """What the platform's codecs raise."""
 
 
-class PlatformFault(Exception):
+class ProtocolError(Exception):
     """Bytes that the protocol does not allow; its text is the one reason that is said and logged."""
--- a/petrelway/platform/frames.py
+++ b/petrelway/platform/frames.py
@@ -12,7 +12,7 @@
 from zlib import crc32
 
 from ..interface import Outcome, Warmth
-from .faults import PlatformFault
+from .faults import ProtocolError
 from .passed import Passed
 
 HEAD, CHECK = Struct(">BBHI8s"), Struct(">I")
@@ -87,7 +87,7 @@
         return bool(self.held)
 
     def feed(self, data: bytes) -> None:
-        """Raises PlatformFault at what can't be read; nothing after it can be told apart.
+        """Raises ProtocolError at what can't be read; nothing after it can be told apart.
 
         Danger: garbage read as a length asks for gigabytes: lengths are checked before bytes are collected.
         """
@@ -99,16 +99,16 @@
         while size - start >= HEAD.size:
             mark, code, fields, body, id = HEAD.unpack_from(data, start)
             if mark != FROM_EXECUTOR or code not in OUTCOMES and code not in (WELL, UNWELL):
-                raise PlatformFault(f"no answer begins with mark {mark}, code {code}")
+                raise ProtocolError(f"no answer begins with mark {mark}, code {code}")
             if fields > FIELDS_BOUND or body > BODY_BOUND:
-                raise PlatformFault(f"an answer of {fields} and {body} bytes is over the bounds")
+                raise ProtocolError(f"an answer of {fields} and {body} bytes is over the bounds")
             at = start + HEAD.size
             middle, end = at + fields, at + fields + body
             if size < end + CHECK.size:
                 break
             told, payload = data[at:middle], data[middle:end]
             if crc32(payload, crc32(told)) != CHECK.unpack_from(data, end)[0]:
-                raise PlatformFault("an answer's check does not fit")
+                raise ProtocolError("an answer's check does not fit")
             start = end + CHECK.size
             self._tell(code, id, told, payload)
         if start < size:
@@ -129,5 +129,5 @@
                 elif name == b"count":
                     replicas = int(value)
         except ValueError as error:
-            raise PlatformFault("an answer's fields can't be read") from error
+            raise ProtocolError("an answer's fields can't be read") from error
         self.ears.answered(id, OUTCOMES[code], warmth, crowd, replicas, body)
--- a/petrelway/platform/lines.py
+++ b/petrelway/platform/lines.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from .faults import PlatformFault
+from .faults import ProtocolError
 from .passed import Passed
 
 BODY_BOUND = 16 * 1024  # bytes of a request's body
@@ -32,7 +32,7 @@
 _decode = msgspec.json.Decoder().decode
 
 
-class LineFault(PlatformFault):
+class ClientLineError(ProtocolError):
     """A line that can't be taken. `number` None: it is not known whose answer the error would be.
 
     `last`: the connection can't go on, since what follows could not be told apart.
@@ -47,7 +47,7 @@
     """What a client says. `memory_mb`, `lanes`, `load_ms`, `work_ms` 0: untold."""
 
     def numbered(self, number: int) -> None:
-        """A request under this number follows, whatever is wrong with it. Raises LineFault if it is used."""
+        """A request under this number follows, whatever is wrong with it. Raises ClientLineError if it is used."""
 
     def asked(
         self,
@@ -86,10 +86,10 @@
         self.held += data
 
     def next(self) -> bytes | None:
-        """The next whole line, or None. Raises LineFault past the bound, whole or not."""
+        """The next whole line, or None. Raises ClientLineError past the bound, whole or not."""
         end = self.held.find(b"\n", self.start)
         if (end if end >= 0 else len(self.held)) - self.start > self.bound:
-            raise LineFault(None, NOT_A_REQUEST, f"a line over {self.bound} bytes", last=True)
+            raise ClientLineError(None, NOT_A_REQUEST, f"a line over {self.bound} bytes", last=True)
         if end < 0:
             return None
         line = bytes(self.held[self.start : end])
@@ -116,32 +116,32 @@
         self.tenants = {name: i for i, name in enumerate(tenants)}
 
     def read(self, line: bytes, ears: ClientEars) -> None:
-        """One line as one call. Raises LineFault."""
+        """One line as one call. Raises ClientLineError."""
         try:
             told = _decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            raise LineFault(None, NOT_JSON, f"not JSON: {error}"[:200], last=True) from error
+            raise ClientLineError(None, NOT_JSON, f"not JSON: {error}"[:200], last=True) from error
         if type(told) is not dict:
-            raise LineFault(None, NOT_A_REQUEST, "not one request object", last=True)
+            raise ClientLineError(None, NOT_A_REQUEST, "not one request object", last=True)
         method, number, params = told.get("method"), told.get("id"), told.get("params")
         if params is None:
             params = {}
         if number is not None and not (type(number) is int and 1 <= number < NUMBER_BOUND):
-            raise LineFault(None, NOT_A_REQUEST, "id is no whole number from 1", last=True)
+            raise ClientLineError(None, NOT_A_REQUEST, "id is no whole number from 1", last=True)
         if told.get("jsonrpc") != "2.0" or type(method) is not str or type(params) is not dict:
-            raise LineFault(None, NOT_A_REQUEST, "not a JSON-RPC 2.0 request", last=True)
+            raise ClientLineError(None, NOT_A_REQUEST, "not a JSON-RPC 2.0 request", last=True)
         if method == "interrupt":
             ears.taken_back(*_taken_back(number, params))
             return
         if number is None:
-            raise LineFault(None, NOT_A_REQUEST, "no id", last=True)
+            raise ClientLineError(None, NOT_A_REQUEST, "no id", last=True)
         if method == "check":
             ears.checked(number)
             return
         ears.numbered(number)
         request_class = self.request_classes.get(method)
         if request_class is None:
-            raise LineFault(number, NO_METHOD, "no such class")
+            raise ClientLineError(number, NO_METHOD, "no such class")
         self._asked(number, method, request_class, params, ears)
 
     def _asked(
@@ -155,34 +155,34 @@
         index, deadline_ms, keyed = request_class
         call, function, once = params.get("call"), params.get("row"), params.get("dedupe")
         if type(call) is not str or not HEX16(call):
-            raise LineFault(number, BAD_PARAMS, "call: 16 hex digits wanted")
+            raise ClientLineError(number, BAD_PARAMS, "call: 16 hex digits wanted")
         if type(function) is not str or not HEX16(function):
-            raise LineFault(number, BAD_PARAMS, "row: 16 hex digits wanted")
+            raise ClientLineError(number, BAD_PARAMS, "row: 16 hex digits wanted")
         if keyed or once is not None:
             if type(once) is not str or not HEX32(once):
-                raise LineFault(number, BAD_PARAMS, "dedupe: 32 hex digits wanted")
+                raise ClientLineError(number, BAD_PARAMS, "dedupe: 32 hex digits wanted")
         tenant = 0
         if self.tenants:
             org = params.get("org")
             tenant = self.tenants.get(org, -1) if type(org) is str else -1
             if tenant < 0:
-                raise LineFault(number, BAD_PARAMS, "org: no such tenant")
+                raise ClientLineError(number, BAD_PARAMS, "org: no such tenant")
         remaining_ms = _amount(
             number, params, "ttl", None, deadline_ms * 1.001 + 50.0 if deadline_ms else 1e9
         )
         if remaining_ms <= 0.0:
-            raise LineFault(number, BAD_PARAMS, "ttl: more than 0 wanted")
+            raise ClientLineError(number, BAD_PARAMS, "ttl: more than 0 wanted")
         work_ms = _amount(number, params, "work", 0.0, WORK_BOUND_MS)
         memory_mb, lanes, load_ms = _extras(number, params.get("extras"))
         text = params.get("bytes", "")
         if type(text) is not str:
-            raise LineFault(number, BAD_PARAMS, "bytes: base64 wanted")
+            raise ClientLineError(number, BAD_PARAMS, "bytes: base64 wanted")
         try:
             body = a2b_base64(text, strict_mode=True) if text else b""
         except (Base64Error, ValueError) as error:
-            raise LineFault(number, BAD_PARAMS, "bytes: base64 wanted") from error
+            raise ClientLineError(number, BAD_PARAMS, "bytes: base64 wanted") from error
         if len(body) > BODY_BOUND:
-            raise LineFault(number, BAD_PARAMS, f"bytes: over {BODY_BOUND} bytes")
+            raise ClientLineError(number, BAD_PARAMS, f"bytes: over {BODY_BOUND} bytes")
         passed = Passed(bytes.fromhex(call), name, function, once or "", body)
         ears.asked(number, passed, index, tenant, remaining_ms, work_ms, memory_mb, lanes, load_ms)
 
@@ -194,14 +194,14 @@
     if type(other) is int:
         return other, None
     if number is None:
-        raise LineFault(None, BAD_PARAMS, "interrupt: call wanted")
+        raise ClientLineError(None, BAD_PARAMS, "interrupt: call wanted")
     return number, None
 
 
 def _amount(number: int, params: dict[str, Any], name: str, default: float | None, most: float) -> float:
     amount = params.get(name, default)
     if type(amount) not in (int, float) or not 0.0 <= amount <= most or not math.isfinite(amount):
-        raise LineFault(number, BAD_PARAMS, f"{name}: a number from 0 to {most:g} wanted")
+        raise ClientLineError(number, BAD_PARAMS, f"{name}: a number from 0 to {most:g} wanted")
     return float(amount)
 
 
@@ -210,7 +210,7 @@
     if not text:
         if text in (None, ""):
             return 0.0, 0, 0.0
-        raise LineFault(number, BAD_PARAMS, "extras: text wanted")
+        raise ClientLineError(number, BAD_PARAMS, "extras: text wanted")
     found = {}
     try:
         for item in text.split(";"):
@@ -219,10 +219,10 @@
             if not 0.0 <= amount <= AMOUNT_BOUND:  # also what is no number
                 raise ValueError(name)
     except (ValueError, AttributeError) as error:
-        raise LineFault(number, BAD_PARAMS, "extras: name:value;name:value wanted") from error
+        raise ClientLineError(number, BAD_PARAMS, "extras: name:value;name:value wanted") from error
     lanes = found.get("lanes", 0.0)
     if lanes > LANES_BOUND or lanes != int(lanes):
-        raise LineFault(number, BAD_PARAMS, "extras: lanes is no number of lanes")
+        raise ClientLineError(number, BAD_PARAMS, "extras: lanes is no number of lanes")
     return found.get("memory_mb", 0.0), int(lanes), found.get("load_ms", 0.0)
 
 
@@ -248,7 +248,7 @@
     return b'{"jsonrpc":"2.0","id":%d,"error":{"code":%d,"message":"broken off"}}\n' % (number, FAILED)
 
 
-def faulted(fault: LineFault) -> bytes:
+def faulted(fault: ClientLineError) -> bytes:
     number = b"null" if fault.number is None else b"%d" % fault.number
     text = json.dumps(str(fault)).encode()
     return b'{"jsonrpc":"2.0","id":%b,"error":{"code":%d,"message":%b}}\n' % (number, fault.code, text)
--- a/petrelway/policy/changes.py
+++ b/petrelway/policy/changes.py
@@ -129,7 +129,7 @@
             o.sample = sent, now, reading
 
     def tried(self, now: float, name: str, began_ms: float, refused: bool) -> None:
-        """Refused: its process is gone, and whoever starts there asks before it serves. Danger: a try that
+        """RefusedError: its process is gone, and whoever starts there asks before it serves. Danger: a try that
         began before this leader led, or before the member was told that it may serve, proves nothing."""
         o = self.others.get(name)
         if o is not None and refused:
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..settings.front import SHAPES, Strict, WhatIsPermitted, between
-from ..settings.reading import Fault, SettingsFault, evaluate, sections
+from ..settings.reading import Fault, SettingsError, evaluate, sections
 
 TERMS = ("tariffs", "customers", "permits", "functions")
 READ_DOCUMENTS_KEPT = 4  # answers kept of `stops`: a process asks about the present document and the next one
@@ -63,29 +63,29 @@
 
 def check(file: str, tree: dict[str, Any], settings: Mapping[str, Any]) -> dict[str, Any]:
     """The document's sections as a front end with these settings would run under them. Raises
-    SettingsFault."""
+    SettingsError."""
     found = sections(file, tree, SECTIONS, frozenset(("customers", "permits", "adoption")))
     found.setdefault("customers", [])
     found.setdefault("permits", WhatIsPermitted())
     found.setdefault("adoption", Adoption())
     if faults := between({**settings, **found}):
-        raise SettingsFault(file, faults)
+        raise SettingsError(file, faults)
     return found
 
 
 def read(document: str, settings: Mapping[str, Any]) -> dict[str, Any]:
-    """A document that came from elsewhere. Raises SettingsFault."""
+    """A document that came from elsewhere. Raises SettingsError."""
     try:
         tree = json.loads(document)
     except ValueError as problem:
-        raise SettingsFault("policy", [Fault("(document)", str(problem), "JSON")]) from problem
+        raise SettingsError("policy", [Fault("(document)", str(problem), "JSON")]) from problem
     if not isinstance(tree, dict):
-        raise SettingsFault("policy", [Fault("(document)", type(tree).__name__, "an object of sections")])
+        raise SettingsError("policy", [Fault("(document)", type(tree).__name__, "an object of sections")])
     return check("policy", tree, settings)
 
 
 def read_file(file: str, settings: Mapping[str, Any]) -> str:
-    """A Jsonnet file as a canonical document. Raises SettingsFault."""
+    """A Jsonnet file as a canonical document. Raises SettingsError."""
     return canonical(check(file, evaluate(file), settings))
 
 
--- a/petrelway/policy/service.py
+++ b/petrelway/policy/service.py
@@ -18,14 +18,14 @@
 from zope.interface import implementer
 
 from ..fleet.service import CALLERS_BOUND, Dial, FleetService, Listed
-from ..wire.framing import Frames, WireFault
+from ..wire.framing import Frames, WireError
 from . import ledger as ledgers
 from .adopter import Serving, Terms
 from .changes import Try
 from .keepers import Role
 from .party import Keep, Party
 from .store import Store
-from .words import WORD_BOUND, Progress, Propose, WordFault, read, write
+from .words import WORD_BOUND, Progress, Propose, MessageError, read, write
 
 IDLE_S = 10.0  # a connection on which nothing is heard is closed
 LIFE_S = 5.0  # a connection is used for so long
@@ -52,7 +52,7 @@
         try:
             for payload in self.frames.feed(data):
                 self.factory.came(payload)
-        except WireFault:
+        except WireError:
             self.factory.dropped("too long")
             self.transport.abortConnection()
             return
@@ -187,7 +187,7 @@
         return self.reactor.seconds() * 1e3
 
     def startService(self) -> None:
-        """After the control port is listened on, before anything is taken. Raises StoreFault."""
+        """After the control port is listened on, before anything is taken. Raises StorageError."""
         if self.name in self.names:
             self.store = Store(self.file, self.fleet.fleet, self.name)
         members = [self.name, *self.ways]
@@ -202,10 +202,10 @@
         try:
             said = read(payload)
             if said.fleet != self.fleet.fleet:
-                raise WordFault("another fleet")
+                raise MessageError("another fleet")
             if said.name not in self.ways:
-                raise WordFault("no member's name")
-        except WordFault as fault:
+                raise MessageError("no member's name")
+        except MessageError as fault:
             self._dropped(str(fault))
             return
         if self.running:
@@ -267,7 +267,7 @@
         self.counts[f"said {type(word).__name__}"] += 1
         try:
             data = write(self.fleet.fleet, self.name, self.fleet.token, word)
-        except WordFault as fault:
+        except MessageError as fault:
             self._dropped(f"not said: {fault}")
             return
         self.counts["bytes said"] += len(data)
--- a/petrelway/policy/store.py
+++ b/petrelway/policy/store.py
@@ -22,7 +22,7 @@
 """
 
 
-class StoreFault(Exception):
+class StorageError(Exception):
     """The file can't be used; its text says which, why, and where it is now."""
 
 
@@ -44,7 +44,7 @@
     """One keeper's file, held open and locked."""
 
     def __init__(self, file: str, fleet: str, name: str) -> None:
-        """Opens or makes it. Raises StoreFault where it can't be used as it is: another fleet's or member's,
+        """Opens or makes it. Raises StorageError where it can't be used as it is: another fleet's or member's,
         of a version that this program does not know, damaged, in use. It is put aside then, but for the last,
         and never written over: whoever starts again starts without a file, and may not vote until it has
         asked the other keepers."""
@@ -52,17 +52,19 @@
         try:
             self.db = sqlite3.connect(self.file, isolation_level=None, timeout=0.5)
         except sqlite3.Error as problem:
-            raise StoreFault(f"{file}: {problem}") from problem
+            raise StorageError(f"{file}: {problem}") from problem
         try:
             self._check()
         except _Unfit as unfit:
             self.db.close()
-            raise StoreFault(f"{file}: {unfit}; it is put aside as {self._aside()}") from unfit
+            raise StorageError(f"{file}: {unfit}; it is put aside as {self._aside()}") from unfit
         except sqlite3.DatabaseError as problem:
             self.db.close()
             if "locked" in str(problem) or isinstance(problem, sqlite3.OperationalError):
-                raise StoreFault(f"{file}: {problem}") from problem
-            raise StoreFault(f"{file}: damaged ({problem}); it is put aside as {self._aside()}") from problem
+                raise StorageError(f"{file}: {problem}") from problem
+            raise StorageError(
+                f"{file}: damaged ({problem}); it is put aside as {self._aside()}"
+            ) from problem
 
     def _check(self) -> None:
         db = self.db
@@ -70,7 +72,7 @@
         db.execute("PRAGMA journal_mode = DELETE")
         db.execute("PRAGMA synchronous = EXTRA")
         if db.execute("PRAGMA synchronous").fetchone()[0] != 3:
-            raise StoreFault(f"{self.file}: this SQLite does not sync what it keeps")
+            raise StorageError(f"{self.file}: this SQLite does not sync what it keeps")
         db.execute("BEGIN EXCLUSIVE")
         try:
             self._check_inside()
@@ -152,7 +154,7 @@
             if not place.exists():
                 os.rename(self.file, place)
                 return place.name
-        raise StoreFault(f"{self.file}: {ASIDE_BOUND} files were put aside already")
+        raise StorageError(f"{self.file}: {ASIDE_BOUND} files were put aside already")
 
     def close(self) -> None:
         self.db.close()
--- a/petrelway/policy/words.py
+++ b/petrelway/policy/words.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from ..wire.framing import WireFault, frame
+from ..wire.framing import WireError, frame
 
 VERSION = 1
 WORD_BOUND = 4 << 20  # bytes of one word
@@ -267,7 +267,7 @@
     body: Body
 
 
-class WordFault(Exception):
+class MessageError(Exception):
     """Bytes that are no word of ours; its text is a reason out of a few."""
 
 
@@ -285,18 +285,18 @@
     said = Said(version=VERSION, fleet=fleet, name=name, token=token, body=body)
     try:
         return frame(_write.encode(said), WORD_BOUND)
-    except WireFault as fault:
-        raise WordFault("too long") from fault
+    except WireError as fault:
+        raise MessageError("too long") from fault
 
 
 def read(payload: bytes) -> Said:
-    """Raises WordFault."""
+    """Raises MessageError."""
     try:
         said = _read.decode(payload)
     except (msgspec.MsgspecError, ValueError, RecursionError) as problem:
-        raise WordFault("can't be read") from problem
+        raise MessageError("can't be read") from problem
     if said.version != VERSION:
-        raise WordFault("version")
+        raise MessageError("version")
     return said
 
 
--- a/petrelway/rehearsal/benchday.py
+++ b/petrelway/rehearsal/benchday.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..settings.reading import FILE_BOUND, Fault, SettingsFault
+from ..settings.reading import FILE_BOUND, Fault, SettingsError
 
 RATE_BOUND = 400.0  # requests a second that a rehearsal on one machine plays at the most
 FRONTS_BOUND, EXECUTORS_BOUND = 8, 60
@@ -38,7 +38,7 @@
         try:
             return Tree(self.file, self.value[key], path)
         except (KeyError, IndexError, TypeError) as error:
-            raise SettingsFault(
+            raise SettingsError(
                 self.file, [Fault(path, "nothing", "a bench's day file, which has it")]
             ) from error
 
@@ -48,7 +48,7 @@
 
     def number(self) -> float:
         if isinstance(self.value, bool) or not isinstance(self.value, (int, float)):
-            raise SettingsFault(self.file, [Fault(self.path, json.dumps(self.value)[:60], "a number")])
+            raise SettingsError(self.file, [Fault(self.path, json.dumps(self.value)[:60], "a number")])
         return float(self.value)
 
     def ms(self) -> float:
@@ -56,25 +56,25 @@
 
     def each(self) -> list[Tree]:
         if not isinstance(self.value, list):
-            raise SettingsFault(self.file, [Fault(self.path, type(self.value).__name__, "a list")])
+            raise SettingsError(self.file, [Fault(self.path, type(self.value).__name__, "a list")])
         return [self[i] for i in range(len(self.value))]
 
 
 def convert(file: str, scale: float) -> tuple[dict[str, Any], list[str]]:
-    """The tree of a day for `settings.days.check_day`, and what was left out. Raises SettingsFault."""
+    """The tree of a day for `settings.days.check_day`, and what was left out. Raises SettingsError."""
     if not 0.0 < scale <= 1.0:
-        raise SettingsFault(file, [Fault("--scale", f"{scale:g}", "more than 0, 1 at most")])
+        raise SettingsError(file, [Fault("--scale", f"{scale:g}", "more than 0, 1 at most")])
     try:
         raw = Path(file).read_bytes()
         if len(raw) > FILE_BOUND:
-            raise SettingsFault(file, [Fault("(file)", f"{len(raw)} bytes", f"{FILE_BOUND} at most")])
+            raise SettingsError(file, [Fault("(file)", f"{len(raw)} bytes", f"{FILE_BOUND} at most")])
         day = Tree(file, json.loads(raw))
     except OSError as error:
-        raise SettingsFault(
+        raise SettingsError(
             file, [Fault("(file)", error.strerror or "", "a file that can be read")]
         ) from error
     except ValueError as error:
-        raise SettingsFault(file, [Fault("(file)", f"no JSON ({error})", "a bench's day file")]) from error
+        raise SettingsError(file, [Fault("(file)", f"no JSON ({error})", "a bench's day file")]) from error
     left_out = list(ALWAYS_LEFT_OUT)
     tree = _fleet(day, scale, left_out)
     tree["troubles"] = _troubles(day, tree["fleet"]["executors"], tree["fleet"]["fronts"], left_out)
@@ -113,7 +113,7 @@
         name = str(c["name"].value)
         idempotency = EFFECTS.get(c["effect"].value)
         if idempotency is None:
-            raise SettingsFault(
+            raise SettingsError(
                 c.file, [Fault(c["effect"].path, repr(c["effect"].value), ", ".join(EFFECTS))]
             )
         request_classes.append(
--- a/petrelway/rehearsal/conductor.py
+++ b/petrelway/rehearsal/conductor.py
@@ -33,7 +33,7 @@
 SIGNS = {"die": "KILL", "leave": "TERM", "freeze": signal.SIGSTOP, "end freeze": signal.SIGCONT}
 
 
-class PartFailed(Exception):
+class ProcessFailedError(Exception):
     """A process of the rehearsal ended by itself; its text says which, how, and where its words are."""
 
 
@@ -44,7 +44,7 @@
     """
 
     def __init__(self, chance: random.Random) -> None:
-        """Raises PartFailed if all blocks are taken."""
+        """Raises ProcessFailedError if all blocks are taken."""
         blocks = list(range(PORTS.start, PORTS.stop, BLOCK))
         chance.shuffle(blocks)
         for first in blocks:
@@ -57,10 +57,10 @@
                 continue
             self.left = iter(range(first + 1, first + BLOCK))
             return
-        raise PartFailed(f"no block of {BLOCK} ports is free in {PORTS.start} to {PORTS.stop}")
+        raise ProcessFailedError(f"no block of {BLOCK} ports is free in {PORTS.start} to {PORTS.stop}")
 
     def draw(self, count: int) -> list[int]:
-        """The next ports of the block that nobody listens on. Raises PartFailed if it has too few."""
+        """The next ports of the block that nobody listens on. Raises ProcessFailedError if it has too few."""
         found: list[int] = []
         for port in self.left:
             if len(found) == count:
@@ -73,7 +73,7 @@
                     continue
             found.append(port)
         if len(found) < count:
-            raise PartFailed(f"{count} ports asked for, {len(found)} free in a block of {BLOCK}")
+            raise ProcessFailedError(f"{count} ports asked for, {len(found)} free in a block of {BLOCK}")
         return found
 
     def close(self) -> None:
@@ -221,7 +221,7 @@
 
     @defer.inlineCallbacks
     def play(self):
-        """Raises PartFailed if a process ended by itself."""
+        """Raises ProcessFailedError if a process ended by itself."""
         plan, day = self.plan, self.plan.day
         self._spawn("services", "standin", "services", str(self.folder))
         if day["fleet"].workers:
@@ -268,7 +268,7 @@
         self.record.note("end", cpu_s=round(self.front_cpu_s, 3))
         self.record.close()
         if self.failed:
-            raise PartFailed("; ".join(self.failed))
+            raise ProcessFailedError("; ".join(self.failed))
 
     def _tell(self, now: float) -> None:
         for number, part in self.fronts.items():
--- a/petrelway/rules/records.py
+++ b/petrelway/rules/records.py
@@ -10,19 +10,19 @@
 LINE_BOUND = 1 << 16  # bytes of one line
 
 
-class RecordFault(Exception):
+class RecordError(Exception):
     """A record that can't be judged: which file, which line, what is wrong."""
 
 
 def read(folder: str | Path) -> Iterator[dict[str, Any]]:
     """All lines by time; each has its file's name as `_file`, and a client's its source as `_source`.
 
-    A last line that is cut off is left out: its process was killed while writing it. Raises RecordFault.
+    A last line that is cut off is left out: its process was killed while writing it. Raises RecordError.
     """
     lines: list[dict[str, Any]] = []
     paths = sorted(Path(folder).glob("*.jsonl"))
     if not paths:
-        raise RecordFault(f"{Path(folder).name}: no records (*.jsonl) in this folder")
+        raise RecordError(f"{Path(folder).name}: no records (*.jsonl) in this folder")
     for path in paths:
         name = path.name.removesuffix(".jsonl")
         raw = path.read_bytes().split(b"\n")
@@ -36,7 +36,7 @@
                 line["t"] = float(line["t"])
                 line["k"] = str(line["k"])
             except (ValueError, KeyError, TypeError) as error:
-                raise RecordFault(
+                raise RecordError(
                     f"{path.name}, line {number}: found {error!r}; allowed: an object with t and k, "
                     f"{LINE_BOUND} bytes at most"
                 ) from error
--- a/petrelway/settings/days.py
+++ b/petrelway/settings/days.py
@@ -21,7 +21,7 @@
     RequestClassTerms,
     WhatIsPermitted,
 )
-from .reading import Fault, SettingsFault, evaluate, sections
+from .reading import Fault, SettingsError, evaluate, sections
 
 Range = Annotated[list[float], Meta(min_length=2, max_length=2)]
 
@@ -206,14 +206,14 @@
 
 
 def read_day(file: str) -> dict[str, Any]:
-    """The sections of a day, by name. Raises SettingsFault."""
+    """The sections of a day, by name. Raises SettingsError."""
     return check_day(file, evaluate(file))
 
 
 def check_playable(file: str, tree: dict[str, Any]) -> dict[str, Any]:
     """As `check_day`, for a day to be played on sockets of one machine; an emulation plays any.
 
-    Raises SettingsFault.
+    Raises SettingsError.
     """
     found = check_day(file, tree)
     faults = []
@@ -225,12 +225,12 @@
         if trouble.kind in EMULATED_ONLY:
             faults.append(Fault(f"troubles[{i}].kind", repr(trouble.kind), "only in an emulation"))
     if faults:
-        raise SettingsFault(file, faults)
+        raise SettingsError(file, faults)
     return found
 
 
 def check_day(file: str, tree: dict[str, Any]) -> dict[str, Any]:
-    """A day's tree as sections, checked. Raises SettingsFault."""
+    """A day's tree as sections, checked. Raises SettingsError."""
     found = sections(file, tree, SHAPES, OPTIONAL)
     for name, shape in (
         ("store", StoreTerms),
@@ -295,5 +295,5 @@
             )
         )
     if faults:
-        raise SettingsFault(file, faults)
+        raise SettingsError(file, faults)
     return found
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -10,7 +10,7 @@
 from msgspec import Meta, field
 
 from ..fleet.words import digest
-from .reading import Fault, SettingsFault, evaluate, sections
+from .reading import Fault, SettingsError, evaluate, sections
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 Ms = Annotated[float, Meta(ge=0, le=86_400_000)]
@@ -166,12 +166,12 @@
 
 
 def read_front_end(file: str) -> dict[str, Any]:
-    """The sections of a front end's file, by name. Raises SettingsFault."""
+    """The sections of a front end's file, by name. Raises SettingsError."""
     return check_front_end(file, evaluate(file))
 
 
 def check_front_end(file: str, tree: dict[str, Any]) -> dict[str, Any]:
-    """A front end's tree as sections, checked. Raises SettingsFault."""
+    """A front end's tree as sections, checked. Raises SettingsError."""
     found = sections(file, tree, SHAPES, OPTIONAL)
     found.setdefault("customers", [])
     for name, shape in (
@@ -183,7 +183,7 @@
     ):
         found.setdefault(name, shape())
     if faults := between(found):
-        raise SettingsFault(file, faults)
+        raise SettingsError(file, faults)
     return found
 
 
--- a/petrelway/settings/reading.py
+++ b/petrelway/settings/reading.py
@@ -22,7 +22,7 @@
     allowed: str
 
 
-class SettingsFault(Exception):
+class SettingsError(Exception):
     """All that is wrong in one file; its text has one line a fault."""
 
     def __init__(self, file: str, faults: list[Fault]) -> None:
@@ -33,32 +33,32 @@
 
 
 def evaluate(file: str | Path, overrides: Mapping[str, str] | None = None) -> dict[str, Any]:
-    """The object that a Jsonnet file gives. `overrides` become external variables. Raises SettingsFault."""
+    """The object that a Jsonnet file gives. `overrides` become external variables. Raises SettingsError."""
     name = str(file)
     try:
         if Path(file).stat().st_size > FILE_BOUND:
-            raise SettingsFault(name, [Fault("(file)", "a larger file", f"{FILE_BOUND} bytes at most")])
+            raise SettingsError(name, [Fault("(file)", "a larger file", f"{FILE_BOUND} bytes at most")])
         text = _jsonnet.evaluate_file(name, ext_vars=dict(overrides or {}), max_stack=200)
     except OSError as error:
-        raise SettingsFault(
+        raise SettingsError(
             name, [Fault("(file)", error.strerror or str(error), "a file that can be read")]
         ) from error
     except RuntimeError as error:
         lines = [line.strip() for line in str(error).strip().splitlines()]
         where = lines[1].split("\t")[0] if len(lines) > 1 else "(template)"
-        raise SettingsFault(name, [Fault(where, lines[0], "a Jsonnet template that evaluates")]) from error
+        raise SettingsError(name, [Fault(where, lines[0], "a Jsonnet template that evaluates")]) from error
     if len(text) > FILE_BOUND:
-        raise SettingsFault(name, [Fault("(file)", f"{len(text)} bytes evaluated", f"{FILE_BOUND} at most")])
+        raise SettingsError(name, [Fault("(file)", f"{len(text)} bytes evaluated", f"{FILE_BOUND} at most")])
     tree = json.loads(text)
     if not isinstance(tree, dict):
-        raise SettingsFault(name, [Fault("(file)", type(tree).__name__, "an object of sections")])
+        raise SettingsError(name, [Fault("(file)", type(tree).__name__, "an object of sections")])
     return tree
 
 
 def sections(
     file: str, tree: dict[str, Any], shapes: Mapping[str, Any], optional: frozenset[str] = frozenset()
 ) -> dict[str, Any]:
-    """Each section in its shape; a missing optional one is left out. Raises SettingsFault with all faults."""
+    """Each section in its shape; a missing optional one is left out. Raises SettingsError with all faults."""
     faults, found = [], {}
     for name in tree:
         if name not in shapes:
@@ -73,7 +73,7 @@
         except msgspec.ValidationError as error:
             faults.append(_fault(name, tree[name], str(error)))
     if faults:
-        raise SettingsFault(file, faults)
+        raise SettingsError(file, faults)
     return found
 
 
--- a/petrelway/settings/worker.py
+++ b/petrelway/settings/worker.py
@@ -7,7 +7,7 @@
 from msgspec import Meta, field
 
 from .front import Count, Listen, LogWanted, Ms, Name, Port, Some, Strict
-from .reading import Fault, SettingsFault, evaluate, sections
+from .reading import Fault, SettingsError, evaluate, sections
 
 
 class WorkerPlace(Strict):
@@ -73,7 +73,7 @@
 
 
 def read_worker(file: str) -> dict[str, Any]:
-    """The sections of a worker's file, by name. Raises SettingsFault."""
+    """The sections of a worker's file, by name. Raises SettingsError."""
     found = sections(file, evaluate(file), SHAPES, frozenset(DEFAULTS))
     for name, shape in DEFAULTS.items():
         found.setdefault(name, shape())
@@ -86,5 +86,5 @@
             )
         seen.add(mark.request_class)
     if faults:
-        raise SettingsFault(file, faults)
+        raise SettingsError(file, faults)
     return found
--- a/petrelway/standin/executors.py
+++ b/petrelway/standin/executors.py
@@ -8,7 +8,7 @@
 from twisted.internet import protocol
 
 from ..wire import codec
-from ..wire.framing import Frames, WireFault
+from ..wire.framing import Frames, WireError
 from .life import Life
 from .machine import Work
 
@@ -35,7 +35,7 @@
         try:
             for payload in self.frames.feed(data):
                 codec.from_front(payload, self)
-        except WireFault as fault:
+        except WireError as fault:
             self.executor.record.note(
                 "bad frame", ex=self.executor.post.name, fe=self.front, reason=str(fault)
             )
--- a/petrelway/standin/fault_proxy.py
+++ b/petrelway/standin/fault_proxy.py
@@ -18,7 +18,7 @@
 
 from twisted.internet import error, protocol
 
-from ..wire import endpoint
+from ..wire import registry_codec
 from ..wire.framing import Frames
 from .script import EXECUTORS_BOUND, network_faults, other_ways
 from .fault_schedule import EXECUTORS, ROSTER, FaultSchedule, NetworkFault, fault_random_source
@@ -121,7 +121,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         for payload in self.frames.feed(data):
-            serial, complete, lines = endpoint.from_roster(payload)
+            serial, complete, lines = registry_codec.from_roster(payload)
             met = [
                 line._replace(
                     address=proxy_address(self.other, EXECUTORS + int(line.executor.rpartition("-")[2])),
@@ -129,7 +129,7 @@
                 )
                 for line in lines
             ]
-            super().dataReceived(endpoint.listed(serial, complete, met))
+            super().dataReceived(registry_codec.listed(serial, complete, met))
 
 
 class Near(protocol.Factory):
--- a/petrelway/standin/hollow.py
+++ b/petrelway/standin/hollow.py
@@ -27,7 +27,7 @@
 LAG_PERIOD_S = 0.1  # how often a process looks how late its own timers are
 
 
-class HollowFault(Exception):
+class HollowMembersError(Exception):
     """A fleet or a group of hollow members that can't be; the text says why in one line."""
 
 
@@ -45,7 +45,7 @@
 
     def __post_init__(self) -> None:
         if not 1 <= self.size <= FLEET_BOUND:
-            raise HollowFault(f"a fleet of {self.size} members; allowed: 1 to {FLEET_BOUND}")
+            raise HollowMembersError(f"a fleet of {self.size} members; allowed: 1 to {FLEET_BOUND}")
 
     def listed(self, number: int) -> Listed:
         """The member's line of the list of peers; its address is its name, as under `petrelway node`."""
@@ -228,12 +228,14 @@
     def __init__(
         self, reactor: Any, plan: FleetPlan, numbers: range, ports: bool = False, process: int = 0
     ) -> None:
-        """Raises HollowFault for more members than one process may hold, or one outside the fleet."""
+        """Raises HollowMembersError for more members than one process may hold, or one outside the fleet."""
         if not 1 <= len(numbers) <= MEMBERS_BOUND:
-            raise HollowFault(f"{len(numbers)} hollow members in a process; allowed: 1 to {MEMBERS_BOUND}")
+            raise HollowMembersError(
+                f"{len(numbers)} hollow members in a process; allowed: 1 to {MEMBERS_BOUND}"
+            )
         if numbers[0] < 0 or numbers[-1] >= plan.size:
             found = f"members {numbers[0]} to {numbers[-1]} of a fleet of {plan.size}"
-            raise HollowFault(f"{found}; allowed: 0 to {plan.size - 1}")
+            raise HollowMembersError(f"{found}; allowed: 0 to {plan.size - 1}")
         self.plan = plan
         self.traffic = Traffic()
         self._reactor = reactor
--- a/petrelway/standin/hollow_process.py
+++ b/petrelway/standin/hollow_process.py
@@ -71,7 +71,7 @@
 
 
 def run_hollow(plan: FleetPlan, numbers: range, ports: bool, process: int, introduced: bool) -> None:
-    """Run these members until asked to stop. Raises HollowFault or CannotListenError."""
+    """Run these members until asked to stop. Raises HollowMembersError or CannotListenError."""
     from ..clock import steady_reactor
 
     reactor = steady_reactor()
--- a/petrelway/standin/packages.py
+++ b/petrelway/standin/packages.py
@@ -48,7 +48,7 @@
         self.heard = lambda digest: None  # of each fetch that begins
 
     def put(self, file: Path, name: str | None = None) -> str:
-        """Serve a package; its name, or the one given, points at it from now on. Raises PackageFault."""
+        """Serve a package; its name, or the one given, points at it from now on. Raises PackageError."""
         manifest, digest = check(file), digest_of(file)
         self.files[digest] = file
         self.names[name or manifest.name] = digest, manifest.memory_mb, manifest.lanes
--- a/petrelway/standin/roster.py
+++ b/petrelway/standin/roster.py
@@ -8,8 +8,8 @@
 
 from twisted.internet import protocol
 
-from ..wire import endpoint
-from ..wire.framing import Frames, WireFault
+from ..wire import registry_codec
+from ..wire.framing import Frames, WireError
 from .script import Post, Script
 
 
@@ -18,16 +18,20 @@
 
     told_ms: float
     at_ms: float
-    line: endpoint.Line
+    line: registry_codec.EndpointEntry
 
 
-def _line(day, post: Post, port: int, stage: str, started_ms: float) -> endpoint.Line:
+def _line(day, post: Post, port: int, stage: str, started_ms: float) -> registry_codec.EndpointEntry:
     fleet = day["fleet"]
     zone, machine = fleet.zones[post.zone], fleet.kinds[post.kind].name
-    return endpoint.Line(post.name, "127.0.0.1", port, zone, machine, post.cell, stage, 1.0, started_ms)
+    return registry_codec.EndpointEntry(
+        post.name, "127.0.0.1", port, zone, machine, post.cell, stage, 1.0, started_ms
+    )
 
 
-def first_lines(day: dict[str, Any], script: Script, ports: Sequence[int]) -> list[endpoint.Line]:
+def first_lines(
+    day: dict[str, Any], script: Script, ports: Sequence[int]
+) -> list[registry_codec.EndpointEntry]:
     """The list when the day begins."""
     return [_line(day, p, ports[p.number], "ready", 0.0) for p in script.posts if p.begins_ms <= 0.0]
 
@@ -48,7 +52,7 @@
     return found
 
 
-def tell(book: Book, line: endpoint.Line, at_ms: float) -> None:
+def tell(book: Book, line: registry_codec.EndpointEntry, at_ms: float) -> None:
     """What was true at that time, told now; the end of a process is old news once a later one is listed."""
     known = book.lines.get(line.executor)
     if line.stage != "ready":
@@ -62,13 +66,13 @@
     """What the list says, and who follows it."""
 
     def __init__(self, record) -> None:
-        self.lines: dict[str, endpoint.Line] = {}
+        self.lines: dict[str, registry_codec.EndpointEntry] = {}
         self.serial = 0
         self.followers: list[RosterServer] = []
         self.record = record
         self.lose_next = False
 
-    def change(self, *lines: endpoint.Line) -> None:
+    def change(self, *lines: registry_codec.EndpointEntry) -> None:
         """Changes to tell all followers; a gone executor leaves the full list."""
         self.serial += 1
         for line in lines:
@@ -95,11 +99,11 @@
     def dataReceived(self, data: bytes) -> None:
         try:
             for payload in self.frames.feed(data):
-                self.name, self.process = endpoint.from_follower(payload)
+                self.name, self.process = registry_codec.from_follower(payload)
                 if self not in self.book.followers:
                     self.book.followers.append(self)
                 self.tell(True, self.book.lines.values())
-        except WireFault:
+        except WireError:
             self.transport.abortConnection()
 
     def tell(self, complete: bool, lines) -> None:
@@ -112,7 +116,7 @@
             full=complete,
             lines=[[x.executor, x.stage, x.started_ms] for x in lines],
         )
-        self.transport.write(endpoint.listed(self.book.serial, complete, lines))
+        self.transport.write(registry_codec.listed(self.book.serial, complete, lines))
 
     def drop(self) -> None:
         self.transport.abortConnection()
--- a/petrelway/standin/store.py
+++ b/petrelway/standin/store.py
@@ -8,7 +8,7 @@
 from twisted.internet import protocol
 
 from ..wire import store_pb2 as pb
-from ..wire.framing import Frames, WireFault, frame
+from ..wire.framing import Frames, WireError, frame
 
 REFUSE_MS = 20.0
 
@@ -112,7 +112,7 @@
                 ask.ParseFromString(payload)
                 self.record.note("fetch", fn=ask.function)
                 self.store.fetch(ask.fetch_ms, lambda good, id=ask.id: self._say(id, good))
-        except (WireFault, DecodeError):
+        except (WireError, DecodeError):
             self.transport.abortConnection()
 
     def _say(self, id: int, good: bool) -> None:
--- a/petrelway/terms.py
+++ b/petrelway/terms.py
@@ -62,7 +62,7 @@
         )
 
 
-class TermsFault(ValueError):
+class DeploymentSettingsError(ValueError):
     """A setting that can't be used: where it stands, what was found, what is allowed."""
 
 
@@ -72,22 +72,22 @@
 
     >>> Part({"aimS": "1"}, "settings").number("aimS", 1e3)
     Traceback (most recent call last):
-    petrelway.terms.TermsFault: settings.aimS: found '1'; allowed: a number from 0 to 1e+09
+    petrelway.terms.DeploymentSettingsError: settings.aimS: found '1'; allowed: a number from 0 to 1e+09
     """
 
     def __init__(self, told: Any, path: str) -> None:
         self.told, self.path = told, path
         if type(told) is not dict:
-            raise TermsFault(f"{path}: found {told!r:.60}; allowed: an object")
+            raise DeploymentSettingsError(f"{path}: found {told!r:.60}; allowed: an object")
 
     def read(self, key: str, default: Any = None) -> Any:
         """null stands for an absent value, as on the whole wire."""
         value = self.told.get(key)
         return default if value is None else value
 
-    def fault(self, key: str, allowed: str) -> TermsFault:
+    def fault(self, key: str, allowed: str) -> DeploymentSettingsError:
         found = f"{self.told[key]!r:.60}" if key in self.told else "nothing"
-        return TermsFault(f"{self.path}.{key}: found {found}; allowed: {allowed}")
+        return DeploymentSettingsError(f"{self.path}.{key}: found {found}; allowed: {allowed}")
 
     def part(self, key: str) -> Part:
         return Part(self.read(key), f"{self.path}.{key}")
@@ -163,11 +163,11 @@
 
 
 def read_terms(settings: Any) -> Terms:
-    """Raises TermsFault at the first setting that can't be used.
+    """Raises DeploymentSettingsError at the first setting that can't be used.
 
     >>> read_terms({"classes": [{"name": "a", "aimS": 1.0, "effect": "dedup", "dedupScope": "all"}]})
     Traceback (most recent call last):
-    petrelway.terms.TermsFault: settings.classes[0].windowS: found nothing; allowed: a number from 0 to 1e+06
+    petrelway.terms.DeploymentSettingsError: settings.classes[0].windowS: found nothing; allowed: a number from 0 to 1e+06
     """
     told = Part(settings, "settings")
     classes, orgs = told.parts("classes"), told.parts("orgs")
--- a/petrelway/wire/codec.py
+++ b/petrelway/wire/codec.py
@@ -1,7 +1,7 @@
 """The worker protocol: bytes to calls on a listener, results to bytes. docs/wire.md has the page.
 
 The listener's methods are named in `FrontSide` and `ExecutorSide`; an unknown version, an unknown kind
-of message and malformed bytes raise WireFault, whose text is the reason to log when the link is closed.
+of message and malformed bytes raise WireError, whose text is the reason to log when the link is closed.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from google.protobuf.message import DecodeError
 
 from . import worker_pb2 as pb
-from .framing import WireFault, frame
+from .framing import WireError, frame
 
 VERSION = 1
 NAME_BOUND = 512  # characters of a name on the wire
@@ -207,7 +207,7 @@
 
 
 def from_front(payload: bytes, side: ExecutorSide) -> None:
-    """One payload from a front end, as one call. Raises WireFault."""
+    """One payload from a front end, as one call. Raises WireError."""
     message = _parse(pb.FromFront(), payload)
     kind = message.WhichOneof("what")
     if kind == "send":
@@ -235,7 +235,7 @@
         _names(m.function)
         _amounts(m.memory_mb)
         if m.copies > REPLICAS_BOUND:
-            raise WireFault(f"an order for {m.copies} copies is over the bound of {REPLICAS_BOUND}")
+            raise WireError(f"an order for {m.copies} copies is over the bound of {REPLICAS_BOUND}")
         side.load_requested(m.id, m.function, m.copies, m.memory_mb, max(1, m.lanes))
     elif kind == "unload":
         _names(message.unload.function)
@@ -247,24 +247,24 @@
         _names(message.greeting.front_end, message.greeting.process)
         side.greeted(message.greeting.front_end, message.greeting.process)
     else:
-        raise WireFault("a message of no known kind")
+        raise WireError("a message of no known kind")
 
 
 def from_executor(payload: bytes, side: FrontSide) -> None:
-    """One payload from an executor, as one call. Raises WireFault."""
+    """One payload from an executor, as one call. Raises WireError."""
     message = _parse(pb.FromExecutor(), payload)
     kind = message.WhichOneof("what")
     if kind == "ended":
         m = message.ended
         if m.outcome not in SAYABLE:
-            raise WireFault(f"an executor may not say outcome {m.outcome}; allowed {sorted(SAYABLE)}")
+            raise WireError(f"an executor may not say outcome {m.outcome}; allowed {sorted(SAYABLE)}")
         if m.warmth > 4:
-            raise WireFault(f"warmth {m.warmth} is not in 0 to 4")
+            raise WireError(f"warmth {m.warmth} is not in 0 to 4")
         side.ended(m.serial, m.number, m.outcome, m.warmth, m.crowd, _load(m.report), m.content_type, m.body)
     elif kind == "stood":
         m = message.stood
         if m.outcome not in SAYABLE:
-            raise WireFault(f"an executor may not say outcome {m.outcome}; allowed {sorted(SAYABLE)}")
+            raise WireError(f"an executor may not say outcome {m.outcome}; allowed {sorted(SAYABLE)}")
         side.stood(m.id, m.outcome, m.copies)
     elif kind == "probed":
         side.probed(message.probed.id, _load(message.probed.report))
@@ -275,7 +275,7 @@
         _amounts(m.started_ms)
         side.welcomed(m.executor, m.process, m.machine, m.started_ms)
     else:
-        raise WireFault("a message of no known kind")
+        raise WireError("a message of no known kind")
 
 
 # danger: an executor that could say UNREACHABLE or UNSENT would have a one-shot request run twice
@@ -286,25 +286,25 @@
     try:
         message.ParseFromString(payload)
     except DecodeError as error:
-        raise WireFault(f"{len(payload)} bytes that are no message: {error}") from error
+        raise WireError(f"{len(payload)} bytes that are no message: {error}") from error
     return message
 
 
 def _version(told: int) -> None:
     if told != VERSION:
-        raise WireFault(f"version {told} of the worker protocol; this side speaks {VERSION}")
+        raise WireError(f"version {told} of the worker protocol; this side speaks {VERSION}")
 
 
 def _names(*names: str) -> None:
     for name in names:
         if len(name) > NAME_BOUND:
-            raise WireFault(f"a name of {len(name)} characters is over the bound of {NAME_BOUND}")
+            raise WireError(f"a name of {len(name)} characters is over the bound of {NAME_BOUND}")
 
 
 def _amounts(*amounts: float) -> None:
     for amount in amounts:
         if not (math.isfinite(amount) and amount >= 0.0):  # danger: a NaN poisons every average it meets
-            raise WireFault(f"an amount of {amount}; it must be a finite number, 0 or more")
+            raise WireError(f"an amount of {amount}; it must be a finite number, 0 or more")
 
 
 def _load(r: pb.Report) -> Load:
--- a/petrelway/wire/framing.py
+++ b/petrelway/wire/framing.py
@@ -9,18 +9,18 @@
 HEADER = struct.Struct(">I")
 
 
-class WireFault(Exception):
+class WireError(Exception):
     """Bytes that the protocol does not allow; its text is the one reason that is logged."""
 
 
 def frame(payload: bytes, bound: int = FRAME_BOUND) -> bytes:
-    """The payload with its length in front. Raises WireFault for one over the bound (bytes).
+    """The payload with its length in front. Raises WireError for one over the bound (bytes).
 
     >>> frame(b"abc")
     b'\\x00\\x00\\x00\\x03abc'
     """
     if len(payload) > bound:
-        raise WireFault(f"a frame of {len(payload)} bytes is over the bound of {bound}")
+        raise WireError(f"a frame of {len(payload)} bytes is over the bound of {bound}")
     return HEADER.pack(len(payload)) + payload
 
 
@@ -37,7 +37,7 @@
         self.held = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The payloads that these bytes complete. Raises WireFault at a length over the bound."""
+        """The payloads that these bytes complete. Raises WireError at a length over the bound."""
         held = self.held
         held += data
         start = 0
@@ -45,7 +45,7 @@
             while len(held) - start >= HEADER.size:
                 (length,) = HEADER.unpack_from(held, start)
                 if length > self.bound:  # danger: garbage read as a length would ask for gigabytes
-                    raise WireFault(f"a frame of {length} bytes is over the bound of {self.bound}")
+                    raise WireError(f"a frame of {length} bytes is over the bound of {self.bound}")
                 end = start + HEADER.size + length
                 if len(held) < end:
                     return
--- a/petrelway/wire/listing.py
+++ b/petrelway/wire/registry_codec.py
@@ -7,9 +7,9 @@
 
 from google.protobuf.message import DecodeError
 
-from ..endpoint import Line
+from ..endpoint_entry import EndpointEntry
 from . import roster_pb2 as pb
-from .framing import WireFault, frame
+from .framing import WireError, frame
 
 VERSION = 1
 LINES_BOUND = 10_000  # executors in one list
@@ -20,7 +20,7 @@
     return frame(pb.FromFollower(version=VERSION, front_end=front_end, process=process).SerializeToString())
 
 
-def listed(serial: int, complete: bool, lines: Iterable[Line]) -> bytes:
+def listed(serial: int, complete: bool, lines: Iterable[EndpointEntry]) -> bytes:
     message = pb.FromRoster(version=VERSION, serial=serial, complete=complete)
     for line in lines:
         message.lines.add(
@@ -38,26 +38,26 @@
 
 
 def from_follower(payload: bytes) -> tuple[str, str]:
-    """Name and process of a front end that follows. Raises WireFault."""
+    """Name and process of a front end that follows. Raises WireError."""
     message = _parse(pb.FromFollower(), payload)
     return message.front_end, message.process
 
 
-def from_roster(payload: bytes) -> tuple[int, bool, list[Line]]:
-    """Serial, whether the list is complete, and its lines. Raises WireFault."""
+def from_roster(payload: bytes) -> tuple[int, bool, list[EndpointEntry]]:
+    """Serial, whether the list is complete, and its lines. Raises WireError."""
     message = _parse(pb.FromRoster(), payload)
     if len(message.lines) > LINES_BOUND:
-        raise WireFault(f"a list of {len(message.lines)} lines is over the bound of {LINES_BOUND}")
+        raise WireError(f"a list of {len(message.lines)} lines is over the bound of {LINES_BOUND}")
     lines = []
     for m in message.lines:
         if m.stage >= len(STAGES):
-            raise WireFault(f"executor {m.executor!r} has stage {m.stage}; allowed 0 to {len(STAGES) - 1}")
+            raise WireError(f"executor {m.executor!r} has stage {m.stage}; allowed 0 to {len(STAGES) - 1}")
         if not 0 < m.port < 65536 or not m.executor:
-            raise WireFault(f"executor {m.executor!r} at port {m.port}")
+            raise WireError(f"executor {m.executor!r} at port {m.port}")
         if not (math.isfinite(m.weight) and math.isfinite(m.started_ms)):
-            raise WireFault(f"executor {m.executor!r} has weight {m.weight}, start {m.started_ms}")
+            raise WireError(f"executor {m.executor!r} has weight {m.weight}, start {m.started_ms}")
         lines.append(
-            Line(
+            EndpointEntry(
                 m.executor,
                 m.address,
                 m.port,
@@ -76,7 +76,7 @@
     try:
         message.ParseFromString(payload)
     except DecodeError as error:
-        raise WireFault(f"{len(payload)} bytes that are no message: {error}") from error
+        raise WireError(f"{len(payload)} bytes that are no message: {error}") from error
     if message.version != VERSION:
-        raise WireFault(f"version {message.version} of the roster protocol; this side speaks {VERSION}")
+        raise WireError(f"version {message.version} of the roster protocol; this side speaks {VERSION}")
     return message
--- a/petrelway/worker/fetching.py
+++ b/petrelway/worker/fetching.py
@@ -19,7 +19,7 @@
 WORD_BOUND = 1 << 16  # bytes of the store's word on a name
 
 
-class FetchFault(Exception):
+class FetchError(Exception):
     """A fetch that failed for good; `kind` is a short word for counts."""
 
     def __init__(self, kind: str, text: str) -> None:
@@ -73,15 +73,15 @@
 
     @defer.inlineCallbacks
     def named(self, function: str):
-        """The store's word on a function. Raises FetchFault."""
+        """The store's word on a function. Raises FetchError."""
         response = yield self._get(f"/names/{quote(function, safe='')}", None)
         raw = yield self._limited(readBody(response))
         if response.code != 200:
-            raise FetchFault(f"store says {response.code}", f"{function}: {raw[:200]!r}")
+            raise FetchError(f"store says {response.code}", f"{function}: {raw[:200]!r}")
         try:
             return msgspec.json.decode(raw[:WORD_BOUND], type=Named)
         except msgspec.MsgspecError as error:
-            raise FetchFault("store's word malformed", f"{function}: {error}") from error
+            raise FetchError("store's word malformed", f"{function}: {error}") from error
 
     def _limited(self, waited: defer.Deferred) -> defer.Deferred:
         return waited.addTimeout(self.timeout_ms / 1e3, self.reactor)
@@ -94,7 +94,7 @@
         except defer.CancelledError:
             raise
         except Exception as error:
-            raise FetchFault("store not reached", str(error) or type(error).__name__) from error
+            raise FetchError("store not reached", str(error) or type(error).__name__) from error
 
     def fetch(
         self, named: Named, half: Callable[[], Path], keep: Callable[[Path, str], defer.Deferred]
@@ -125,18 +125,18 @@
                     try:
                         if (yield self._piece(named, file)):
                             break
-                    except FetchFault:
+                    except FetchError:
                         if turn == TRIES - 1:
                             raise
                 else:
-                    raise FetchFault("fetch cut", f"{file.tell()} of {named.size} bytes after {TRIES} tries")
+                    raise FetchError("fetch cut", f"{file.tell()} of {named.size} bytes after {TRIES} tries")
             yield keep(half, named.digest)
         finally:
             half.unlink(missing_ok=True)
 
     @defer.inlineCallbacks
     def _piece(self, named: Named, file):
-        """All that is missing, or some of it; True once the file is whole. Raises FetchFault."""
+        """All that is missing, or some of it; True once the file is whole. Raises FetchError."""
         at = file.tell()
         response = yield self._get(f"/packages/{named.digest}", at)
         if at and response.code == 200:  # the store does not do ranges: from the beginning
@@ -147,10 +147,10 @@
             told = response.headers.getRawHeaders("content-range", [""])[0]
             if (m := re.match(r"bytes (\d+)-", told)) is None or int(m[1]) != at:
                 response._transport.abortConnection()
-                raise FetchFault("wrong range", told)
+                raise FetchError("wrong range", told)
         elif response.code not in (200, 206):
             yield self._limited(readBody(response)).addErrback(lambda _: None)
-            raise FetchFault(f"store says {response.code}", named.digest[:16])
+            raise FetchError(f"store says {response.code}", named.digest[:16])
         sink = Sink(file, named.size - at)
         response.deliverBody(sink)
         # danger: a store that stalls halfway would hold the load's room for ever
@@ -158,7 +158,7 @@
         whole = yield sink.done
         watch.close()
         if sink.left < 0:
-            raise FetchFault("fetch too long", f"more than the {named.size} bytes that were told")
+            raise FetchError("fetch too long", f"more than the {named.size} bytes that were told")
         return whole
 
     def _pause(self, ms: float) -> defer.Deferred:
--- a/petrelway/worker/images.py
+++ b/petrelway/worker/images.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from pathlib import Path
 
-from .package import Manifest, PackageFault, digest_of, unpack
+from .package import Manifest, PackageError, digest_of, unpack
 
 NAME = re.compile(r"[0-9a-f]{64}\.tar\Z")
 
@@ -53,11 +53,11 @@
         return Path(name)
 
     def keep(self, half: Path, digest: str) -> None:
-        """A fetched file, under its digest, checked. Raises PackageFault; the half file goes either way."""
+        """A fetched file, under its digest, checked. Raises PackageError; the half file goes either way."""
         try:
             found = digest_of(half)
             if found != digest:
-                raise PackageFault("fetched package", f"digest {found[:16]}...", f"{digest[:16]}...")
+                raise PackageError("fetched package", f"digest {found[:16]}...", f"{digest[:16]}...")
             with open(half, "rb") as file:
                 os.fsync(file.fileno())
             size = half.stat().st_size
@@ -69,7 +69,7 @@
             half.unlink(missing_ok=True)
 
     def lay(self, digest: str, name: str) -> tuple[Path, Manifest]:
-        """A copy's own folder of the package's files, checked on this use. Raises PackageFault."""
+        """A copy's own folder of the package's files, checked on this use. Raises PackageError."""
         with self.lock:
             self.pinned[digest] = self.pinned.get(digest, 0) + 1
         try:
@@ -80,12 +80,12 @@
                     self.sizes.move_to_end(digest)
                     os.utime(self.path(digest))
             return target, manifest
-        except (PackageFault, OSError) as fault:
+        except (PackageError, OSError) as fault:
             with self.lock:
                 self.spoilt += 1
                 self._drop(digest)  # it is fetched anew the next time
             if isinstance(fault, OSError):
-                raise PackageFault("image", str(fault), "a file that can be read") from fault
+                raise PackageError("image", str(fault), "a file that can be read") from fault
             raise
         finally:
             with self.lock:
--- a/petrelway/worker/package.py
+++ b/petrelway/worker/package.py
@@ -27,7 +27,7 @@
 ENTRY = re.compile(r"[A-Za-z_][\w.]*:[A-Za-z_]\w*\Z")
 
 
-class PackageFault(Exception):
+class PackageError(Exception):
     """A package that can't be used: where, what was found, what is allowed."""
 
     def __init__(self, where: str, found: str, allowed: str) -> None:
@@ -53,24 +53,24 @@
 
 
 def read_manifest(raw: bytes) -> Manifest:
-    """Raises PackageFault."""
+    """Raises PackageError."""
     try:
         manifest = msgspec.json.decode(raw, type=Manifest)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise PackageFault(MANIFEST, str(error), "a manifest as docs/package.md says") from error
+        raise PackageError(MANIFEST, str(error), "a manifest as docs/package.md says") from error
     if manifest.format != FORMAT:
-        raise PackageFault(f"{MANIFEST} format", str(manifest.format), str(FORMAT))
+        raise PackageError(f"{MANIFEST} format", str(manifest.format), str(FORMAT))
     if not ENTRY.match(manifest.entry):
-        raise PackageFault(f"{MANIFEST} entry", repr(manifest.entry), "module:callable")
+        raise PackageError(f"{MANIFEST} entry", repr(manifest.entry), "module:callable")
     if len(manifest.files) > FILES_BOUND:
-        raise PackageFault(f"{MANIFEST} files", str(len(manifest.files)), f"{FILES_BOUND} at most")
+        raise PackageError(f"{MANIFEST} files", str(len(manifest.files)), f"{FILES_BOUND} at most")
     if sum(f.size for f in manifest.files.values()) > SIZE_BOUND:
-        raise PackageFault(f"{MANIFEST} files", "more bytes in all", f"{SIZE_BOUND} at most")
+        raise PackageError(f"{MANIFEST} files", "more bytes in all", f"{SIZE_BOUND} at most")
     for path in manifest.files:
         _check_path(path)
     module = manifest.entry.partition(":")[0].replace(".", "/")
     if not {f"{module}.py", f"{module}/__init__.py"} & set(manifest.files):
-        raise PackageFault(f"{MANIFEST} entry", f"{manifest.entry!r}, no such file", f"{module}.py in files")
+        raise PackageError(f"{MANIFEST} entry", f"{manifest.entry!r}, no such file", f"{module}.py in files")
     return manifest
 
 
@@ -84,27 +84,27 @@
         and path == "/".join(parts)
     )
     if not good or ".." in parts or path == MANIFEST or len(path) > 500:
-        raise PackageFault("a path", repr(path[:100]), "a plain relative path inside the package")
+        raise PackageError("a path", repr(path[:100]), "a plain relative path inside the package")
 
 
 def build(folder: Path, target: Path) -> tuple[Manifest, str]:
     """Pack a folder that has a `manifest.json` without `files` into a file; the manifest and its digest.
 
-    The same folder gives the same bytes. Raises PackageFault; the target is then as it was.
+    The same folder gives the same bytes. Raises PackageError; the target is then as it was.
     """
     try:
         told = msgspec.json.decode((folder / MANIFEST).read_bytes())
     except (OSError, msgspec.MsgspecError) as error:
-        raise PackageFault(str(folder / MANIFEST), str(error), "a manifest in JSON") from error
+        raise PackageError(str(folder / MANIFEST), str(error), "a manifest in JSON") from error
     if not isinstance(told, dict):
-        raise PackageFault(MANIFEST, type(told).__name__, "an object")
+        raise PackageError(MANIFEST, type(told).__name__, "an object")
     files = {}
     for path in sorted(folder.rglob("*")):
         name = path.relative_to(folder).as_posix()
         if "__pycache__" in path.parts or name == MANIFEST or path.is_dir() and not path.is_symlink():
             continue
         if path.is_symlink() or not path.is_file():
-            raise PackageFault(name, "a link or a special file", "regular files only")
+            raise PackageError(name, "a link or a special file", "regular files only")
         files[name] = {"size": path.stat().st_size, "sha256": digest_of(path)}
     told = {"format": FORMAT, **told, "files": files}
     raw = msgspec.json.format(msgspec.json.encode(told, order="sorted"), indent=1)
@@ -141,9 +141,9 @@
 
 
 def unpack(file: Path, digest: str | None, into: Path) -> Manifest:
-    """Check a package and lay its files into a new folder. Raises PackageFault; nothing is left then."""
+    """Check a package and lay its files into a new folder. Raises PackageError; nothing is left then."""
     if digest is not None and (found := digest_of(file)) != digest:
-        raise PackageFault(file.name, f"digest {found[:16]}...", f"{digest[:16]}..., as it was asked for")
+        raise PackageError(file.name, f"digest {found[:16]}...", f"{digest[:16]}..., as it was asked for")
     into.parent.mkdir(parents=True, exist_ok=True)
     half = Path(tempfile.mkdtemp(prefix=".half-", dir=into.parent))
     try:
@@ -156,7 +156,7 @@
 
 
 def check(file: Path) -> Manifest:
-    """All checks of `unpack`, nothing kept. Raises PackageFault."""
+    """All checks of `unpack`, nothing kept. Raises PackageError."""
     with tempfile.TemporaryDirectory(prefix="petrelway-check-") as folder:
         return unpack(file, None, Path(folder) / "files")
 
@@ -166,33 +166,33 @@
         with tarfile.open(file, mode="r:") as tar:
             first = tar.next()
             if first is None or first.name != MANIFEST or not first.isreg():
-                raise PackageFault("first member", repr(first.name if first else None), MANIFEST)
+                raise PackageError("first member", repr(first.name if first else None), MANIFEST)
             if first.size > MANIFEST_BOUND:
-                raise PackageFault(MANIFEST, f"{first.size} bytes", f"{MANIFEST_BOUND} at most")
+                raise PackageError(MANIFEST, f"{first.size} bytes", f"{MANIFEST_BOUND} at most")
             manifest = read_manifest(_whole(tar.extractfile(first), first.size))
             left = dict(manifest.files)
             while (member := tar.next()) is not None:
                 told = left.pop(member.name, None)
                 if told is None:
-                    raise PackageFault(member.name[:100], "a member", "those that the manifest lists, once")
+                    raise PackageError(member.name[:100], "a member", "those that the manifest lists, once")
                 if not member.isreg():
-                    raise PackageFault(member.name, "a link or a special member", "regular files only")
+                    raise PackageError(member.name, "a link or a special member", "regular files only")
                 if member.size != told.size:
-                    raise PackageFault(
+                    raise PackageError(
                         member.name, f"{member.size} bytes", f"{told.size}, as the manifest says"
                     )
                 _write(tar.extractfile(member), folder / member.name, told)
             if left:
-                raise PackageFault(next(iter(left)), "no such member", "all that the manifest lists")
+                raise PackageError(next(iter(left)), "no such member", "all that the manifest lists")
             return manifest
     except (tarfile.TarError, EOFError, OSError, ValueError) as error:
-        raise PackageFault(file.name, str(error) or type(error).__name__, "a whole tar archive") from error
+        raise PackageError(file.name, str(error) or type(error).__name__, "a whole tar archive") from error
 
 
 def _whole(source: BinaryIO | None, size: int) -> bytes:
     data = source.read(size) if source is not None else b""
     if len(data) != size:
-        raise PackageFault("archive", "its end in the middle of a member", "a whole tar archive")
+        raise PackageError("archive", "its end in the middle of a member", "a whole tar archive")
     return data
 
 
@@ -206,4 +206,4 @@
             out.write(data)
             left -= len(data)
     if seen.hexdigest() != told.sha256:
-        raise PackageFault(target.name, f"digest {seen.hexdigest()[:16]}...", f"{told.sha256[:16]}...")
+        raise PackageError(target.name, f"digest {seen.hexdigest()[:16]}...", f"{told.sha256[:16]}...")
--- a/petrelway/worker/serving.py
+++ b/petrelway/worker/serving.py
@@ -16,12 +16,12 @@
 
 from ..sockets.listening import listen_tcp
 from ..wire import codec
-from ..wire.framing import Frames, WireFault
+from ..wire.framing import Frames, WireError
 from .replicas import ReplicaProcess
 from .desk import Act, Desk, Do
-from .fetching import FetchFault, Store
+from .fetching import FetchError, Store
 from .images import Images
-from .package import PackageFault
+from .package import PackageError
 
 LINKS_BACKLOG = 256
 LINKS_BOUND = 1024  # front ends at a time
@@ -53,7 +53,7 @@
         try:
             for payload in self.frames.feed(data):
                 codec.from_front(payload, self)
-        except WireFault as fault:
+        except WireError as fault:
             self.worker.log.warning("front end's link closed", front_end=self.front, reason=str(fault))
             self.transport.abortConnection()
 
@@ -310,9 +310,9 @@
         if failure.check(defer.CancelledError) and id not in self.loading:
             return
         self.loading.pop(id, None)
-        if failure.check(FetchFault):
+        if failure.check(FetchError):
             kind = failure.value.kind
-        elif failure.check(PackageFault):
+        elif failure.check(PackageError):
             kind = "package refused"
         else:
             kind = failure.type.__name__
@@ -351,7 +351,7 @@
         for function in sorted({c.function for c in self.desk.replicas.values()}):
             try:
                 named = yield self.store.named(function)
-            except (FetchFault, defer.CancelledError, defer.TimeoutError):
+            except (FetchError, defer.CancelledError, defer.TimeoutError):
                 break  # an unreachable store proves nothing about a release
             self.tell(self.desk.released_anew, function, named.digest)
         self._later("recheck", self.recheck_ms, self._recheck)
--- a/tests/compatibility/forms_drill.py
+++ b/tests/compatibility/forms_drill.py
@@ -9,7 +9,7 @@
 from wire_form_cases import Recorder, plain
 
 from petrelway.drill.__main__ import reply
-from petrelway.drill.codec import Door, WireFault
+from petrelway.drill.codec import Door, WireError
 from petrelway.interface import Decision, Verb
 from petrelway.standin.platform import SETTINGS
 
@@ -75,6 +75,6 @@
     door = _door()
     try:
         door.event(NOW_MS, text)
-    except WireFault as fault:
+    except WireError as fault:
         return str(fault)
     return plain(door.front_end.calls)
--- a/tests/compatibility/forms_fleet_words.py
+++ b/tests/compatibility/forms_fleet_words.py
@@ -71,7 +71,7 @@
     for title, data in odd_datagrams():
         try:
             found.append([title, data, plain(words.read(data))])
-        except words.WordFault as fault:
+        except words.MessageError as fault:
             found.append([title, data, str(fault)])
     return found
 
--- a/tests/compatibility/forms_platform.py
+++ b/tests/compatibility/forms_platform.py
@@ -102,7 +102,7 @@
     heard = Recorder()
     try:
         ASKS.read(text.encode(), heard)
-    except lines.LineFault as fault:
+    except lines.ClientLineError as fault:
         return [plain(heard.calls), lines.faulted(fault).decode(), fault.last]
     return [[[_values(each) for each in call] for call in heard.calls]]
 
--- a/tests/compatibility/forms_policy_document.py
+++ b/tests/compatibility/forms_policy_document.py
@@ -10,7 +10,7 @@
 from petrelway.commands.policies import read_terms
 from petrelway.policy import document
 from petrelway.settings.front import Fleet, FrontEndPlace
-from petrelway.settings.reading import SettingsFault
+from petrelway.settings.reading import SettingsError
 
 TOPIC = "policy_document"
 
@@ -38,7 +38,7 @@
     for title, text in load(TOPIC, "faulty.json"):
         try:
             document.read(text, alone)
-        except SettingsFault as fault:
+        except SettingsError as fault:
             found.append([title, str(fault)])
     return found
 
--- a/tests/compatibility/forms_settings.py
+++ b/tests/compatibility/forms_settings.py
@@ -17,8 +17,8 @@
 from petrelway.settings import days as day_settings
 from petrelway.settings import front as front_settings
 from petrelway.settings import worker as worker_settings
-from petrelway.settings.reading import SettingsFault, evaluate
-from petrelway.worker.package import Manifest, PackageFault, read_manifest
+from petrelway.settings.reading import SettingsError, evaluate
+from petrelway.worker.package import Manifest, PackageError, read_manifest
 
 DOCUMENTS = FORMS / "settings" / "documents"
 CASES = "settings/fault_cases.json"
@@ -134,9 +134,9 @@
     file = _written(kind, {}, folder)
     try:
         KINDS[kind].read(str(file))
-    except SettingsFault as fault:
+    except SettingsError as fault:
         return [f"{each.path}: found {each.found}" for each in fault.faults]
-    except PackageFault as fault:
+    except PackageError as fault:
         return [str(fault)]
     return []
 
@@ -150,7 +150,7 @@
     file = _written(kind, tree, folder)
     try:
         KINDS[kind].read(str(file))
-    except (SettingsFault, PackageFault) as fault:
+    except (SettingsError, PackageError) as fault:
         return str(fault).replace(f"{folder}/", "")
     return ""
 
--- a/tests/compatibility/forms_wire.py
+++ b/tests/compatibility/forms_wire.py
@@ -8,9 +8,9 @@
 from wire_form_cases import Recorder, plain
 
 from petrelway.interface import Outcome, Warmth
-from petrelway.endpoint import Line
+from petrelway.endpoint_entry import EndpointEntry
 from petrelway.standin.store import StoreClient, StoreProtocol
-from petrelway.wire import codec, endpoint, roster_pb2, store_pb2, worker_pb2
+from petrelway.wire import codec, registry_codec, roster_pb2, store_pb2, worker_pb2
 from petrelway.wire.framing import Frames
 
 TOPIC = "wire"
@@ -40,7 +40,7 @@
     found = {
         **_from_front(),
         **_from_executor(),
-        FOLLOW: endpoint.follow("front-1", "p1"),
+        FOLLOW: registry_codec.follow("front-1", "p1"),
         **_lists(),
         ASK: _ask()[0],
         f"{FETCHED}.good": _serve(_ask()[0], True)[1],
@@ -77,12 +77,12 @@
 
 def _lists() -> dict[str, bytes]:
     lines = [
-        Line(f"e{i}", "127.0.0.1", 7001 + i, "east", "quad", 2, stage, 1.5, 5.0)
-        for i, stage in enumerate(endpoint.STAGES)
+        EndpointEntry(f"e{i}", "127.0.0.1", 7001 + i, "east", "quad", 2, stage, 1.5, 5.0)
+        for i, stage in enumerate(registry_codec.STAGES)
     ]
     return {
-        f"{LISTED}.whole": endpoint.listed(4, True, lines),
-        f"{LISTED}.change": endpoint.listed(5, False, lines[:1]),
+        f"{LISTED}.whole": registry_codec.listed(4, True, lines),
+        f"{LISTED}.change": registry_codec.listed(5, False, lines[:1]),
     }
 
 
@@ -114,8 +114,8 @@
             for message in file.message_types_by_name.values()
         }
     outcomes, warmths = plain(list(Outcome)), plain(list(Warmth))
-    found["numbers"] = [outcomes, warmths, sorted(codec.SAYABLE), list(endpoint.STAGES)]
-    found["versions"] = [codec.VERSION, endpoint.VERSION]
+    found["numbers"] = [outcomes, warmths, sorted(codec.SAYABLE), list(registry_codec.STAGES)]
+    found["versions"] = [codec.VERSION, registry_codec.VERSION]
     return found
 
 
@@ -137,9 +137,9 @@
         return heard
     (payload,) = Frames().feed(data)
     if name.startswith(FOLLOW):
-        return plain(endpoint.from_follower(payload))
+        return plain(registry_codec.from_follower(payload))
     if name.startswith(LISTED):
-        return plain(endpoint.from_roster(payload))
+        return plain(registry_codec.from_roster(payload))
     heard = Recorder()
     (codec.from_front if name.startswith(FROM_FRONT) else codec.from_executor)(payload, heard)
     return plain(heard.calls)
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -7,7 +7,7 @@
 from doubles import Log, clock
 
 from petrelway.background.planner import OVERRUN, TASKS_BOUND, Class, Planner
-from petrelway.background.running import Background, Refused
+from petrelway.background.running import Background, RefusedError
 from petrelway.daemon.shedding import BACK, FROM, Shedder, Step
 
 
@@ -162,7 +162,7 @@
     assert got[-1] == "closed" and c.getDelayedCalls() == []
     failed = []
     b.run("late", Class.IDLE, count(1)).addErrback(lambda f: failed.append(f.type))
-    assert failed == [Refused]
+    assert failed == [RefusedError]
 
 
 def test_a_clock_that_steps_back():
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -13,7 +13,7 @@
 from petrelway.capacity import entries, model
 from petrelway.capacity.entries import Entry, LimitKind, Role, Situation, measured, sum_of
 from petrelway.capacity.model import Basis, breaks_first, over_at_any_size, rows
-from petrelway.capacity.page import BLOCK, TABLES, PageFault, render
+from petrelway.capacity.page import BLOCK, TABLES, PageError, render
 from petrelway.capacity.rates import (
     Band,
     power_law,
@@ -28,7 +28,7 @@
 from petrelway.capacity.workload import Reading, workload
 from petrelway.commands import main
 from petrelway.fleet.words import DATAGRAM_BOUND
-from petrelway.settings.reading import SettingsFault
+from petrelway.settings.reading import SettingsError
 from petrelway.worker.serving import LINKS_BOUND
 
 ROOT = Path(__file__).parent.parent
@@ -484,7 +484,7 @@
 def test_each_of_two_faults_has_its_line():
     tree = copy.deepcopy(SMALL)
     tree["fleet"]["zones"], tree["calls"]["a_second"] = -1, -1
-    with pytest.raises(SettingsFault) as caught:
+    with pytest.raises(SettingsError) as caught:
         check_size("size", tree)
     assert [fault.path for fault in caught.value.faults] == ["fleet.zones", "calls.a_second"]
 
@@ -594,7 +594,7 @@
 
 
 def test_a_page_without_a_table_is_refused(tmp_path):
-    with pytest.raises(PageFault, match="no table"):
+    with pytest.raises(PageError, match="no table"):
         render("prose alone", tmp_path, slope_file())
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,7 +14,7 @@
 from petrelway.interface import NEVER_RAN, Outcome
 from petrelway.rules.checker import figures, judge
 from petrelway.settings.days import EMULATED_ONLY, KINDS, check_day, check_playable
-from petrelway.settings.reading import SettingsFault
+from petrelway.settings.reading import SettingsError
 from petrelway.standin.memory import Process, World
 from petrelway.standin.script import Happening
 
@@ -332,7 +332,7 @@
 def test_what_only_an_emulation_plays():
     tree = day(EMULATED_ONLY, fleet={"fronts": 65, "executors": 501})
     check_day("x", tree)
-    with pytest.raises(SettingsFault) as caught:
+    with pytest.raises(SettingsError) as caught:
         check_playable("x", tree)
     assert [f.path for f in caught.value.faults] == ["fleet.executors", "fleet.fronts"] + [
         f"troubles[{i}].kind" for i in range(3)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -12,11 +12,18 @@
 from petrelway.commands import main
 from petrelway.emulator import experiment as experiments
 from petrelway.emulator.compare import paired
-from petrelway.emulator.experiment import AXIS, Experiment, NotResumable, RunFailed, open_results, play
+from petrelway.emulator.experiment import (
+    AXIS,
+    Experiment,
+    NotResumableError,
+    RunFailedError,
+    open_results,
+    play,
+)
 from petrelway.emulator.hunt import Find, cut_down, drawn, simpler
-from petrelway.emulator.results import Results, ResultsFault, load
+from petrelway.emulator.results import Results, ResultsFileError, load
 from petrelway.settings.days import KINDS, check_day
-from petrelway.settings.reading import SettingsFault
+from petrelway.settings.reading import SettingsError
 
 AXES = {
     "rate": {"path": "traffic.rate", "values": [5, 10]},
@@ -69,7 +76,7 @@
     ],
 )
 def test_an_experiment_that_is_none(changes, path):
-    with pytest.raises(SettingsFault) as caught:
+    with pytest.raises(SettingsError) as caught:
         Experiment("x", asked(**changes))
     assert caught.value.faults[0].path == path
 
@@ -89,10 +96,10 @@
             path.write_bytes(bad)
             try:
                 assert load(path).count == 3
-            except ResultsFault as fault:
+            except ResultsFileError as fault:
                 assert "r.npz" in str(fault)
     np.savez(path, a=np.zeros(3))
-    with pytest.raises(ResultsFault):
+    with pytest.raises(ResultsFileError):
         load(path)
 
 
@@ -115,18 +122,18 @@
     keys = [(r[AXIS + "rate"], r[AXIS + "trouble"], r["policy"], r["seed"]) for r in whole.rows()]
     assert seen[0] == part.count and seen[-1] == 8 and len(keys) == len(set(keys)) == 8
     assert whole.rows()[: part.count] == part.rows()  # what was played was not played again
-    with pytest.raises(NotResumable, match="experiment"):
+    with pytest.raises(NotResumableError, match="experiment"):
         open_results(Experiment("x", asked(seeds=3)), path)
     whole.meta["decisions"] = "other"
     whole.save(path)
-    with pytest.raises(NotResumable, match="decisions"):
+    with pytest.raises(NotResumableError, match="decisions"):
         open_results(e, path)
 
 
 def test_a_run_that_fails_is_named_and_the_others_are_kept(tmp_path, monkeypatch):
     monkeypatch.setattr(experiments, "run", fails_at_ten)
     path, e = tmp_path / "r.npz", Experiment("x", asked())
-    with pytest.raises(RunFailed, match="'10'"):
+    with pytest.raises(RunFailedError, match="'10'"):
         play(e, open_results(e, path), path, 1, lambda done, of: None)
     assert load(path).count == 4
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from petrelway.fleet import words
 from petrelway.fleet.members import Members, Verb, Whole
 from petrelway.fleet.parts import WAIT_MS, Parts
-from petrelway.fleet.words import Kind, News, Start, State, Word, WordFault
+from petrelway.fleet.words import Kind, News, Start, State, Word, MessageError
 from petrelway.rules import fleet
 from petrelway.rules.explorer import explore
 from petrelway.emulator import partners
@@ -72,7 +72,7 @@
     ],
 )
 def test_bytes_that_are_no_word_are_refused_by_reason(data, why):
-    with pytest.raises(WordFault, match=why):
+    with pytest.raises(MessageError, match=why):
         words.read(data)
 
 
@@ -90,7 +90,7 @@
     ],
 )
 def test_a_good_check_does_not_make_a_word(change, why):
-    with pytest.raises(WordFault, match=why):
+    with pytest.raises(MessageError, match=why):
         words.read(checked(change(HEAD[:-4])))
 
 
@@ -114,7 +114,7 @@
 def test_any_bytes_are_a_word_or_a_fault(data):
     try:
         words.read(data)
-    except WordFault:
+    except MessageError:
         pass
 
 
@@ -122,7 +122,7 @@
 def test_a_flipped_bit_is_noticed(bit):
     spoilt = bytearray(HEAD)
     spoilt[bit // 8] ^= 1 << bit % 8
-    with pytest.raises(WordFault):
+    with pytest.raises(MessageError):
         words.read(bytes(spoilt))
 
 
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -13,7 +13,7 @@
 from petrelway.fleet.service import FleetService, Listed
 from petrelway.fleet.words import Kind, Start, State, Word, digest
 from petrelway.node.service import NodeService
-from petrelway.platform.faults import PlatformFault
+from petrelway.platform.faults import ProtocolError
 from petrelway.platform.told import read_peers, read_told
 from petrelway.standin.platform import SETTINGS, configuration
 
@@ -168,5 +168,5 @@
 @pytest.mark.parametrize("peers", [[], ["x"], PEERS[:1] * 2, "10.3.0.1:7946", ["10.3.0.1:99999"]])
 def test_peers_that_cannot_be_used_are_refused_in_one_line(peers):
     data = json.dumps({**json.loads(configuration(settings=PERMITTED)), "peers": peers, "peer_listen": "a:1"})
-    with pytest.raises(PlatformFault, match="allowed"):
+    with pytest.raises(ProtocolError, match="allowed"):
         read_peers(data.encode())
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -26,7 +26,7 @@
     FLEET_NAME,
     MEMBERS_BOUND,
     FleetPlan,
-    HollowFault,
+    HollowMembersError,
     HollowGroup,
     hollow_member,
 )
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("size", [0, FLEET_BOUND + 1])
 def test_a_fleet_has_a_bound(size):
-    with pytest.raises(HollowFault, match="allowed"):
+    with pytest.raises(HollowMembersError, match="allowed"):
         FleetPlan(size=size, network=77, port=20_000)
 
 
@@ -206,7 +206,7 @@
     "numbers", [range(0), range(MEMBERS_BOUND + 1), range(FLEET_BOUND - 1, FLEET_BOUND + 1), range(-1, 2)]
 )
 def test_a_process_has_a_bound_and_holds_only_the_fleets_own(numbers):
-    with pytest.raises(HollowFault, match="allowed"):
+    with pytest.raises(HollowMembersError, match="allowed"):
         HollowGroup(task.Clock(), FleetPlan(size=FLEET_BOUND, network=77, port=20_000), numbers)
 
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -20,7 +20,7 @@
     RequestClass,
 )
 from petrelway.wire import codec
-from petrelway.wire.endpoint import Line
+from petrelway.wire.registry_codec import EndpointEntry
 
 F = Function("f", 100.0, 2, 500.0)
 
@@ -72,7 +72,7 @@
     def lists(self, stages, complete=True):
         self.host.executors_listed(
             [
-                Line(f"e{e}", "127.0.0.1", 7000 + e, "a", "quad", 0, stage, 1.0, 0.0)
+                EndpointEntry(f"e{e}", "127.0.0.1", 7000 + e, "a", "quad", 0, stage, 1.0, 0.0)
                 for e, stage in stages.items()
             ],
             complete,
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -11,14 +11,14 @@
 from twisted.internet import address, defer
 from twisted.internet.testing import StringTransport
 
-from petrelway.events.single import ATTRIBUTES_BOUND, EventFault, read
+from petrelway.events.single import ATTRIBUTES_BOUND, EventError, read
 from petrelway.front.ask import Ask, Asks, Catalogue
 from petrelway.front.backoff import Backoff
 from petrelway.front.host import FAILED, SUCCEEDED, REJECTED, Answer, Function
 from petrelway.front.intake import BODY_BOUND, Intake
 from petrelway.front.roster import Follower
 from petrelway.interface import Warmth
-from petrelway.wire import endpoint
+from petrelway.wire import registry_codec
 
 CATALOGUE = Catalogue([Function("f", 100.0, 2, 0.0), Function("station-*", 50.0, 4, 0.0)])
 ASKS = Asks({"t": 3000.0, "u": 6000.0}, ["north", "south"], CATALOGUE)
@@ -220,7 +220,7 @@
             assert (event.content_type, event.data) == expected
             assert ASKS.read(event).function.name == "f"
         else:
-            with pytest.raises(EventFault, match=expected):
+            with pytest.raises(EventError, match=expected):
                 read({"content-type": "application/cloudevents+json"}, body)
 
 
@@ -238,7 +238,7 @@
         headers["content-type"] = "application/cloudevents+json"
     try:
         ASKS.read(read(headers, body))
-    except EventFault as fault:
+    except EventError as fault:
         assert fault.status in (400, 415, 422) and fault.allowed
 
 
@@ -266,9 +266,10 @@
 
     def tell(self, serial, complete, count=1):
         lines = [
-            endpoint.Line(f"e{i}", "127.0.0.1", 7000, "a", "q", 0, "ready", 1.0, 0.0) for i in range(count)
+            registry_codec.EndpointEntry(f"e{i}", "127.0.0.1", 7000, "a", "q", 0, "ready", 1.0, 0.0)
+            for i in range(count)
         ]
-        self.wire.dataReceived(endpoint.listed(serial, complete, lines))
+        self.wire.dataReceived(registry_codec.listed(serial, complete, lines))
 
     def up(self):
         while not self.net.dialled:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -7,11 +7,11 @@
 import pytest
 from twisted.web import resource, server
 
-from petrelway.load.arrivals import Due, Rate, TraceFault, drawn, from_trace
+from petrelway.load.arrivals import Due, Rate, TraceError, drawn, from_trace
 from petrelway.load.plan import LoadPlan
 from petrelway.load.running import merged, part_of
 from petrelway.load.sender import Sender
-from petrelway.settings.reading import SettingsFault
+from petrelway.settings.reading import SettingsError
 from petrelway.standin.memory import Process, World
 
 
@@ -138,7 +138,7 @@
         path = tmp_path / name
         if text is not None:
             path.write_bytes(text.encode("latin-1"))
-        with pytest.raises(TraceFault) as caught:
+        with pytest.raises(TraceError) as caught:
             list(from_trace(path))
         assert where in str(caught.value) and "allowed" in str(caught.value)
 
@@ -180,6 +180,6 @@
         ({"functions": {}}, "functions"),
         ({"how": {"processes": 0}}, "how.processes"),
     ]:
-        with pytest.raises(SettingsFault) as caught:
+        with pytest.raises(SettingsError) as caught:
             LoadPlan("x.jsonnet", {**tree, **changes})
         assert caught.value.faults[0].path == path
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -8,7 +8,7 @@
 import pytest
 
 from petrelway.worker.images import Images
-from petrelway.worker.package import MANIFEST, PackageFault, build, check, digest_of, read_manifest, unpack
+from petrelway.worker.package import MANIFEST, PackageError, build, check, digest_of, read_manifest, unpack
 
 MODEL = b"def run(body, call):\n    return body\n"
 TOLD = {"name": "m", "version": "1", "entry": "model:run", "memory_mb": 50, "lanes": 2}
@@ -60,7 +60,7 @@
     unpack(file, digest, tmp_path / "out")
     assert (tmp_path / "out" / "model.py").read_bytes() == MODEL
     (folder / "link").symlink_to("/etc/hostname")
-    with pytest.raises(PackageFault, match="link"):
+    with pytest.raises(PackageError, match="link"):
         build(folder, file)
     assert file.read_bytes() == first and not list(tmp_path.glob(".half-*"))
 
@@ -86,10 +86,10 @@
         ({"files": {"model.py": {"size": 1, "sha256": "zz"}}}, "sha256"),
     ]
     for changes, word in table:
-        with pytest.raises(PackageFault, match=word):
+        with pytest.raises(PackageError, match=word):
             read_manifest(json.dumps({**good, **changes}).encode())
     for raw in (b"", b"[]", b"{", b"\xff"):
-        with pytest.raises(PackageFault, match="manifest"):
+        with pytest.raises(PackageError, match="manifest"):
             read_manifest(raw)
 
 
@@ -117,18 +117,18 @@
     ]
     for i, (some, manifest, word) in enumerate(table):
         file = tar(tmp_path / "bad.tar", some, manifest)
-        with pytest.raises(PackageFault, match=word):
+        with pytest.raises(PackageError, match=word):
             unpack(file, None, tmp_path / "out")
         assert sorted(p.name for p in tmp_path.iterdir()) == ["bad.tar"], i
     whole = tar(tmp_path / "bad.tar", members, told).read_bytes()
     for cut in (0, 10, 600, len(whole) // 2, 4000):
         (tmp_path / "bad.tar").write_bytes(whole[:cut])
-        with pytest.raises(PackageFault):
+        with pytest.raises(PackageError):
             unpack(tmp_path / "bad.tar", None, tmp_path / "out")
         assert sorted(p.name for p in tmp_path.iterdir()) == ["bad.tar"]
     for noise in (b"\x00" * 2000, b"PK\x03\x04" + b"x" * 2000, os.urandom(3000)):
         (tmp_path / "bad.tar").write_bytes(noise)
-        with pytest.raises(PackageFault):
+        with pytest.raises(PackageError):
             check(tmp_path / "bad.tar")
 
 
@@ -139,7 +139,7 @@
         broken = bytearray(whole)
         broken[at] ^= 1
         file.write_bytes(broken)
-        with pytest.raises(PackageFault, match="digest"):
+        with pytest.raises(PackageError, match="digest"):
             unpack(file, digest, tmp_path / "out")
 
 
@@ -164,13 +164,13 @@
     assert sum(images.sizes.values()) <= images.bound
     half = images.half()
     half.write_bytes(b"something else")
-    with pytest.raises(PackageFault, match="digest"):
+    with pytest.raises(PackageError, match="digest"):
         images.keep(half, packed[1][1])
     assert not half.exists() and not images.has(packed[1][1])
     spoilt = bytearray(images.path(packed[2][1]).read_bytes())
     spoilt[-1] ^= 1
     images.path(packed[2][1]).write_bytes(spoilt)
-    with pytest.raises(PackageFault, match="digest"):
+    with pytest.raises(PackageError, match="digest"):
         images.lay(packed[2][1], "copy-2")  # checked on use, and fetched anew the next time
     assert not images.has(packed[2][1]) and not images.path(packed[2][1]).exists()
     left = images.half()  # killed here: the next process takes over
@@ -179,7 +179,7 @@
     assert [again.has(d) for _, d in packed] == [True, False, False] and not left.exists()
     assert not list(again.run.iterdir()) and (tmp_path / "images" / "note.txt").exists()
     images.path(packed[0][1]).unlink()
-    with pytest.raises(PackageFault, match="archive|can be read|No such"):
+    with pytest.raises(PackageError, match="archive|can be read|No such"):
         again.lay(packed[0][1], "copy-3")
     small = Images(tmp_path / "images", 0.000001)
     assert not small.sizes
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,9 +6,9 @@
 import pytest
 
 from petrelway.interface import Idempotency, Outcome, Warmth
-from petrelway.endpoint import Line
+from petrelway.endpoint_entry import EndpointEntry
 from petrelway.platform import bus, frames, lines
-from petrelway.platform.faults import PlatformFault
+from petrelway.platform.faults import ProtocolError
 from petrelway.platform.passed import Passed
 from petrelway.platform.told import read_told
 from petrelway.standin.platform import (
@@ -24,7 +24,7 @@
     record,
     request,
 )
-from petrelway.terms import TermsFault, read_terms
+from petrelway.terms import DeploymentSettingsError, read_terms
 
 
 class Said:
@@ -122,7 +122,7 @@
             table.append((request(4, **{name: value}), 4, lines.BAD_PARAMS, False))
     table.append((request(4, "keyed", dedupe=None), 4, lines.BAD_PARAMS, False))
     for line, number, code, last in table:
-        with pytest.raises(lines.LineFault) as caught:
+        with pytest.raises(lines.ClientLineError) as caught:
             read(line)
         fault = caught.value
         if fault.code == lines.NOT_JSON and code == lines.BAD_PARAMS:
@@ -148,7 +148,7 @@
     for data in (b"x" * 11, b"x" * 11 + b"\n", b"ok\n" + b"x" * 11):
         reader = lines.Lines(10)
         reader.feed(data)
-        with pytest.raises(lines.LineFault) as caught:
+        with pytest.raises(lines.ClientLineError) as caught:
             while reader.next() is not None:
                 pass
         assert caught.value.last
@@ -218,7 +218,7 @@
     ]
     for data in table:
         reader = frames.Frames(Said())
-        with pytest.raises(PlatformFault):
+        with pytest.raises(ProtocolError):
             reader.feed(data)
         assert len(reader.held) < 1024  # nothing was collected for it
 
@@ -249,8 +249,8 @@
         + event(1, 0)
         + event(2, 2, record(2, 8444, state=2))
     )
-    first = Line("s-00c41f7a", "127.0.0.1", 8443, "east", "std", 3, "ready", 1.0, 0.0)
-    second = Line("s-00000002", "127.0.0.1", 8444, "west", "std", 3, "draining", 1.5, 12.0)
+    first = EndpointEntry("s-00c41f7a", "127.0.0.1", 8443, "east", "std", 3, "ready", 1.0, 0.0)
+    second = EndpointEntry("s-00000002", "127.0.0.1", 8444, "west", "std", 3, "draining", 1.5, 12.0)
     expected = [
         ("listed", 1, True, [first, second]),
         ("nothing_new", 1),
@@ -276,7 +276,7 @@
         event(1, 1, record(1, 1, zone=9)),
     ):
         reader = bus.Bus(["east"], ["std"], Said())
-        with pytest.raises(PlatformFault):
+        with pytest.raises(ProtocolError):
             reader.feed(data)
     assert bus.resume(41) == b"\x00" * 7 + b"\x29"
 
@@ -285,11 +285,11 @@
     ears = Said()
     reader = bus.Bus(["east"], ["std"], ears)
     reader.known(known((0xC41F7A, 8443), offset=41))
-    place = Line("s-00c41f7a", "127.0.0.1", 8443, "east", "std", 2, "ready", 4.0, 0.0)
+    place = EndpointEntry("s-00c41f7a", "127.0.0.1", 8443, "east", "std", 2, "ready", 4.0, 0.0)
     assert ears.said == [("listed", 41, True, [place]), ("nothing_new", 41)]
     good = known((1, 1))
     for spoil in (None, [], {"offset": 1}, {**good, "batch": [{}]}, {**good, "offset": None}):
-        with pytest.raises(PlatformFault):
+        with pytest.raises(ProtocolError):
             reader.known(spoil)
 
 
@@ -317,7 +317,7 @@
         (configuration(settings={**SETTINGS, "limits": {}}), "settings.limits.sendCap: found nothing"),
     ]
     for data, where in table:
-        with pytest.raises(PlatformFault, match=where):
+        with pytest.raises(ProtocolError, match=where):
             read_told(data)
 
 
@@ -395,7 +395,7 @@
         ),
     ]
     for settings, where in table:
-        with pytest.raises(TermsFault, match=where):
+        with pytest.raises(DeploymentSettingsError, match=where):
             read_terms(settings)
     assert read_terms(SETTINGS).request_classes
     # what the wire page says may be missing, and keys that it does not name
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -17,7 +17,7 @@
 from petrelway.policy.adopter import Adopter, Serving, Terms
 from petrelway.policy.document import canonical, check, differences, digest, read
 from petrelway.policy.keepers import Keeper, Role, Verb
-from petrelway.policy.store import Store, StoreFault, after
+from petrelway.policy.store import Store, StorageError, after
 from petrelway.policy.words import (
     Abandoned,
     AskVote,
@@ -32,11 +32,11 @@
     Proposed,
     Told,
     Vote,
-    WordFault,
+    MessageError,
 )
 from petrelway.rules.policy import judge
 from petrelway.settings.front import Fleet, FrontEndPlace
-from petrelway.settings.reading import SettingsFault
+from petrelway.settings.reading import SettingsError
 from petrelway.standin.memory import World
 from petrelway.standin.fault_schedule import NetworkFault, FaultSchedule
 from petrelway.wire.framing import HEADER
@@ -48,7 +48,7 @@
 def test_bytes_that_are_no_word_are_a_fault_and_nothing_else(data):
     try:
         words.read(data)
-    except WordFault:
+    except MessageError:
         pass
 
 
@@ -59,15 +59,15 @@
 def test_a_changed_byte_gives_a_word_or_a_fault(at, byte):
     try:
         words.read(GOOD[:at] + bytes([byte]) + GOOD[at + 1 :])
-    except WordFault:
+    except MessageError:
         pass
 
 
 def test_a_word_of_another_version_and_one_too_long_are_refused():
     said = words.Said(version=2, fleet="f", name="n", token=1, body=Elsewhere(leader=""))
-    with pytest.raises(WordFault, match="version"):
+    with pytest.raises(MessageError, match="version"):
         words.read(words._write.encode(said))
-    with pytest.raises(WordFault, match="too long"):
+    with pytest.raises(MessageError, match="too long"):
         words.write("f", "n", 1, words.History(asked_ms=0.0, ledger=b"x" * words.WORD_BOUND))
 
 
@@ -792,7 +792,7 @@
     path = file_with(tmp_path / "terms")
     spoil(path)
     was = path.read_bytes()
-    with pytest.raises(StoreFault, match="terms.aside-1") as refused:
+    with pytest.raises(StorageError, match="terms.aside-1") as refused:
         Store(path, "gateway", "front-0")
     assert why in str(refused.value)
     assert not path.exists() and (tmp_path / "terms.aside-1").read_bytes() == was
@@ -802,7 +802,7 @@
 def test_a_file_in_use_is_refused_and_left_alone(tmp_path):
     path = file_with(tmp_path / "terms")
     held = Store(path, "gateway", "front-0")
-    with pytest.raises(StoreFault, match="locked"):
+    with pytest.raises(StorageError, match="locked"):
         Store(path, "gateway", "front-0")
     held.close()
     assert Store(path, "gateway", "front-0").kept.term == 2
@@ -842,13 +842,13 @@
     ({"tariffs": TREE["tariffs"]}, "functions"),
 ])  # fmt: skip
 def test_a_document_is_checked_like_settings(tree, where):
-    with pytest.raises(SettingsFault, match=where):
+    with pytest.raises(SettingsError, match=where):
         check("terms", tree, ALONE)
 
 
 def test_what_is_no_document_is_a_fault():
     for text in ("", "[]", "{", "null"):
-        with pytest.raises(SettingsFault):
+        with pytest.raises(SettingsError):
             read(text, ALONE)
 
 
--- a/tests/test_rules_checker.py
+++ b/tests/test_rules_checker.py
@@ -5,7 +5,7 @@
 import pytest
 
 from petrelway.rules.checker import Figures, RequestClassRule, judge
-from petrelway.rules.records import RecordFault, read
+from petrelway.rules.records import RecordError, read
 
 TOLD = Figures(
     {
@@ -279,8 +279,8 @@
     assert lines[0]["_source"] == "/gateway/3"
     for bad in ("[]", "{", '{"t": 1}', '{"k": "x", "t": "soon"}'):
         (tmp_path / "services.jsonl").write_text(bad + "\n")
-        with pytest.raises(RecordFault, match="services.jsonl, line 1"):
+        with pytest.raises(RecordError, match="services.jsonl, line 1"):
             list(read(tmp_path))
-    with pytest.raises(RecordFault, match="no records"):
+    with pytest.raises(RecordError, match="no records"):
         list(read(tmp_path / "nowhere"))
     json.dumps([f._asdict() for f in judge(iter(sorted(UPS + BROKEN[0][2], key=lambda x: x["t"])), TOLD)])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,7 +12,7 @@
 from petrelway.rehearsal.benchday import RATE_BOUND, convert
 from petrelway.settings.days import check_day, read_day
 from petrelway.settings.front import check_front_end
-from petrelway.settings.reading import SettingsFault, evaluate
+from petrelway.settings.reading import SettingsError, evaluate
 from petrelway.standin.script import write
 
 FRONT = {
@@ -39,7 +39,7 @@
     ]
     place = {"name": "x", "hall": "a", "number": 0, "peers": 3}
     for more, found, allowed in table:
-        with pytest.raises(SettingsFault) as caught:
+        with pytest.raises(SettingsError) as caught:
             check_front_end("f", {**FRONT, "front_end": place, "peers": peers(more)})
         [fault] = caught.value.faults
         assert fault.path.startswith("peers.members[1]") and (fault.found, fault.allowed) == (found, allowed)
@@ -56,7 +56,7 @@
         ({"kind": "cut", "at_s": 1, "to": "executors", "others": [9]}, "fleet_troubles[0].others"),
         ({"kind": "fog", "at_s": 1}, "fleet_troubles[0].kind"),
     ):
-        with pytest.raises(SettingsFault) as caught:
+        with pytest.raises(SettingsError) as caught:
             check_day("d", {**tree, "fleet_troubles": [trouble]})
         assert [f.path for f in caught.value.faults] == [path]
 
@@ -105,7 +105,7 @@
         (("log",), {"level": "loud"}, "log.level", "loud", ""),
     ]
     for path, value, named, found, allowed in table:
-        with pytest.raises(SettingsFault) as caught:
+        with pytest.raises(SettingsError) as caught:
             check_front_end("x.jsonnet", changed(FRONT, path, value))
         fault = caught.value.faults[0]
         assert (fault.path, found in fault.found, allowed in fault.allowed) == (named, True, True), (
@@ -128,9 +128,9 @@
         ("[]", "sections"),
         ("local f(x) = f(x); f(1)", "template"),
     ):
-        with pytest.raises(SettingsFault, match=word):
+        with pytest.raises(SettingsError, match=word):
             evaluate(text(body))
-    with pytest.raises(SettingsFault, match="can be read"):
+    with pytest.raises(SettingsError, match="can be read"):
         evaluate(str(tmp_path / "none.jsonnet"))
 
 
@@ -161,7 +161,7 @@
         (("fleet", "warm_ms"), 50000, "fleet.warm_ms"),
     ]
     for path, value, named in table:
-        with pytest.raises(SettingsFault) as caught:
+        with pytest.raises(SettingsError) as caught:
             check_day("d", changed(tree, path, value))
         assert caught.value.faults[0].path == named
 
@@ -283,14 +283,14 @@
     ]
     for path, value, named in table:
         file.write_text(json.dumps(changed(BENCH, path, value)))
-        with pytest.raises(SettingsFault) as caught:
+        with pytest.raises(SettingsError) as caught:
             convert(str(file), 0.5)
         assert caught.value.faults[0].path == named
     for text in ("[", "[]", "3"):
         file.write_text(text)
-        with pytest.raises(SettingsFault):
+        with pytest.raises(SettingsError):
             convert(str(file), 0.5)
-    with pytest.raises(SettingsFault, match="--scale"):
+    with pytest.raises(SettingsError, match="--scale"):
         convert(str(file), 0.0)
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -15,7 +15,7 @@
 from petrelway.rules.checker import figures, judge
 from petrelway.rules.records import read
 from petrelway.settings.days import check_day
-from petrelway.wire import codec, endpoint
+from petrelway.wire import codec, registry_codec
 from petrelway.wire.framing import Frames
 
 ROOT = Path(__file__).parent.parent
@@ -38,8 +38,10 @@
 
     def serve(self):
         self.follower, _ = self.roster.accept()
-        line = endpoint.Line("e0", "127.0.0.1", self.executor_port, "a", "", 0, "ready", 1.0, 0.0)
-        self.follower.sendall(endpoint.listed(1, True, [line]))
+        line = registry_codec.EndpointEntry(
+            "e0", "127.0.0.1", self.executor_port, "a", "", 0, "ready", 1.0, 0.0
+        )
+        self.follower.sendall(registry_codec.listed(1, True, [line]))
         self.link, _ = self.executor.accept()
         self.link.settimeout(WAIT_S)
         self.link.sendall(codec.welcome("e0", "q", "", 0.0))
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -4,7 +4,7 @@
 from test_host import Rig
 
 from petrelway.start_times import StartTimes
-from petrelway.wire.endpoint import Line
+from petrelway.wire.registry_codec import EndpointEntry
 
 HOUR_MS = 3_600_000.0
 
@@ -48,7 +48,7 @@
 
 def listed(rig, started_ms):
     rig.host.executors_listed(
-        [Line("e0", "127.0.0.1", 7000, "a", "quad", 0, "ready", 1.0, started_ms)], complete=True
+        [EndpointEntry("e0", "127.0.0.1", 7000, "a", "quad", 0, "ready", 1.0, started_ms)], complete=True
     )
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -4,9 +4,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from petrelway.wire import codec, endpoint
+from petrelway.wire import codec, registry_codec
 from petrelway.wire import worker_pb2 as pb
-from petrelway.wire.framing import FRAME_BOUND, Frames, WireFault, frame
+from petrelway.wire.framing import FRAME_BOUND, Frames, WireError, frame
 
 
 class Side:
@@ -80,14 +80,14 @@
         (pb.FromExecutor(stood=pb.Stood(outcome=99)).SerializeToString(), codec.from_executor, "may not say"),
     ]
     for payload, read, word in table:
-        with pytest.raises(WireFault, match=word):
+        with pytest.raises(WireError, match=word):
             read(payload, Side())
 
 
 def test_frames_over_the_bound():
-    with pytest.raises(WireFault, match="over the bound"):
+    with pytest.raises(WireError, match="over the bound"):
         list(Frames().feed(b"\xff\xff\xff\xff"))
-    with pytest.raises(WireFault, match="over the bound"):
+    with pytest.raises(WireError, match="over the bound"):
         frame(b"x" * (FRAME_BOUND + 1))
 
 
@@ -97,28 +97,29 @@
     for read in (codec.from_front, codec.from_executor):
         try:
             read(data, Side())
-        except WireFault:
+        except WireError:
             pass
-    for read in (endpoint.from_roster, endpoint.from_follower):
+    for read in (registry_codec.from_roster, registry_codec.from_follower):
         try:
             read(data)
-        except WireFault:
+        except WireError:
             pass
 
 
 def test_lists():
     lines = [
-        endpoint.Line("e1", "127.0.0.1", 7001, "a", "quad", 2, stage, 1.0, 5.0) for stage in endpoint.STAGES
+        registry_codec.EndpointEntry("e1", "127.0.0.1", 7001, "a", "quad", 2, stage, 1.0, 5.0)
+        for stage in registry_codec.STAGES
     ]
-    (payload,) = Frames().feed(endpoint.listed(4, False, lines))
-    assert endpoint.from_roster(payload) == (4, False, lines)
-    (payload,) = Frames().feed(endpoint.follow("front-1", "p1"))
-    assert endpoint.from_follower(payload) == ("front-1", "p1")
+    (payload,) = Frames().feed(registry_codec.listed(4, False, lines))
+    assert registry_codec.from_roster(payload) == (4, False, lines)
+    (payload,) = Frames().feed(registry_codec.follow("front-1", "p1"))
+    assert registry_codec.from_follower(payload) == ("front-1", "p1")
     for bad in (
         lines[0]._replace(port=0),
         lines[0]._replace(executor=""),
         lines[0]._replace(weight=float("inf")),
     ):
-        (payload,) = Frames().feed(endpoint.listed(4, True, [bad]))
-        with pytest.raises(WireFault):
-            endpoint.from_roster(payload)
+        (payload,) = Frames().feed(registry_codec.listed(4, True, [bad]))
+        with pytest.raises(WireError):
+            registry_codec.from_roster(payload)
