--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -86,7 +86,7 @@
     def _give_up(self, t):
         d = super()._give_up(t)
         if d.verb is Verb.REJECT:
-            longest = self.permits.longest_retry_ms
+            longest = self.capabilities.longest_retry_ms
             return Decision(Verb.REJECT, t.index, ms=longest * (0.5 + 0.5 * self.chance.random()))
         return d
 
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -30,7 +30,7 @@
     LoadRation,
     Outcome,
     Part,
-    Permits,
+    Capabilities,
     Place,
     Released,
     Scope,
@@ -133,9 +133,9 @@
         self.taken, self.load_requested = deque[float](), deque[float]()
 
     def send(self, t: Request, e: Executor, listed: int, now: float) -> bool:
-        if t.answered or now >= t.answer_deadline_ms or t.sent >= t.permits.attempts:  # rule 1
+        if t.answered or now >= t.answer_deadline_ms or t.sent >= t.capabilities.attempts:  # rule 1
             return False
-        if t.out and not t.permits.hedging:
+        if t.out and not t.capabilities.hedging:
             return False
         if e.endpoint.stage is not Stage.READY:  # rule 3, without using the grace
             return False
@@ -237,7 +237,7 @@
         place: Place,
         request_classes: list[RequestClass],
         tenants: list[Tenant],
-        permits: Permits,
+        capabilities: Capabilities,
         keeping: Keeping,
         cold: ColdRule,
         ration: LoadRation,
@@ -245,7 +245,7 @@
         super().__init__(now)
         self.clock = ForwardClock(now, TIDY_MS)
         self.chance = random.Random(seed)
-        self.request_classes, self.permits, self.keeping = request_classes, permits, keeping
+        self.request_classes, self.capabilities, self.keeping = request_classes, capabilities, keeping
         self.gate = Gate(
             cold, ration, sum(c.rate for c in tenants) / 1000.0, 1.0 / max(1, place.peers), self.chance, now
         )
@@ -308,7 +308,7 @@
             - LOOK_AGAIN_MS,
         )
         t = Request(
-            request, request_class, terms, self.permits, tenant, f, size, now, deadlines, repeat, luck
+            request, request_class, terms, self.capabilities, tenant, f, size, now, deadlines, repeat, luck
         )
         self.requests[request], t.work_ms = t, work_ms
         self.gate.taken.append(now)
@@ -472,10 +472,14 @@
             self.attention.append(request)
 
     def terms_told(
-        self, now: float, request_classes: list[RequestClass], tenants: list[Tenant], permits: Permits
+        self,
+        now: float,
+        request_classes: list[RequestClass],
+        tenants: list[Tenant],
+        capabilities: Capabilities,
     ) -> None:
         """What is taken from now on goes by these; a request keeps the terms that it was taken under."""
-        self.request_classes, self.permits = request_classes, permits
+        self.request_classes, self.capabilities = request_classes, capabilities
         self.gate.rate_told(self.clock.enter(now), sum(c.rate for c in tenants) / 1000.0)
 
     def part_told(self, now: float, part: Part) -> None:
@@ -562,7 +566,7 @@
     def _for_request(self, t: Request, now: float) -> Decision | None:
         if t.answered:
             return self._withdraw(t)
-        if now >= t.answer_deadline_ms or not t.out and t.sent >= t.permits.attempts:
+        if now >= t.answer_deadline_ms or not t.out and t.sent >= t.capabilities.attempts:
             return self._give_up(t)
         return self._second(t, now) if t.out else self._place(t, now)
 
@@ -570,7 +574,7 @@
         """Nobody waits for these attempts any more: spare the executors the work."""
         t.function.held.pop(t.index, None)
         for sent in t.out.values():
-            if not sent.withdrawn and t.permits.withdraw:
+            if not sent.withdrawn and t.capabilities.withdraw:
                 sent.withdrawn = True
                 return Decision(Verb.WITHDRAW, t.index, number=sent.number)
         if not t.out and self.requests.pop(t.index, None):
@@ -581,7 +585,7 @@
         """Rule 1: the one final answer, at once."""
         t.answered = True
         if self.gate.reject(t):
-            return Decision(Verb.REJECT, t.index, ms=min(t.permits.longest_retry_ms, self.mean_ms))
+            return Decision(Verb.REJECT, t.index, ms=min(t.capabilities.longest_retry_ms, self.mean_ms))
         return Decision(Verb.FAIL, t.index)
 
     def _place(self, t: Request, now: float) -> Decision | None:
--- a/petrelway/choice_state.py
+++ b/petrelway/choice_state.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from .hash_ring import HASH_BITS, HashRing
-from .interface import Endpoint, Permits, Released, Stage, RequestClass
+from .interface import Endpoint, Capabilities, Released, Stage, RequestClass
 
 SALT_BYTES = HASH_BITS // 8  # a salt is a hash of a stable name, the same at all front ends
 
@@ -68,7 +68,7 @@
         index: int,
         kind: int,
         request_class: RequestClass,
-        permits: Permits,
+        capabilities: Capabilities,
         tenant: int,
         function: FunctionState,
         size: float,
@@ -80,7 +80,7 @@
         self.index = index
         self.kind = kind  # the request class's index
         self.request_class = request_class
-        self.permits = permits
+        self.capabilities = capabilities
         self.tenant = tenant
         self.function = function
         self.size = size
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -16,7 +16,7 @@
 
 from ..choice import FrontEnd
 from ..indices import Ids
-from ..interface import Tenant, Decision, Endpoint, Outcome, Permits, Stage, RequestClass, Verb, Warmth
+from ..interface import Tenant, Decision, Endpoint, Outcome, Capabilities, Stage, RequestClass, Verb, Warmth
 from ..endpoint_entry import EndpointEntry
 from ..start_times import StartTimes
 from ..wire import codec
@@ -191,10 +191,10 @@
 
     def terms_told(
         self, request_classes: list[RequestClass], tenants: list[Tenant], names: list[str], tenant_names: list[str],
-        permits: Permits,
+        capabilities: Capabilities,
     ) -> None:  # fmt: skip
         """From now on requests are taken under these; indices keep their names."""
-        self.front_end.terms_told(self.now(), request_classes, tenants, permits)
+        self.front_end.terms_told(self.now(), request_classes, tenants, capabilities)
         self.request_classes, self.tenants = names, tenant_names
 
     def take(
--- a/petrelway/front/service.py
+++ b/petrelway/front/service.py
@@ -36,7 +36,7 @@
         Place(place.number, place.peers, fleet.zones.index(place.zone)),
         made.request_classes,
         made.tenants,
-        made.permits,
+        made.capabilities,
         Keeping(
             keeping.answers_miss,
             keeping.load_requests,
@@ -192,7 +192,7 @@
         """One assignment for each part, in one turn, after all that can fail has been done."""
         made = self.made = told.made[0]
         self.host.terms_told(
-            made.request_classes, made.tenants, made.request_class_names, made.tenant_names, made.permits
+            made.request_classes, made.tenants, made.request_class_names, made.tenant_names, made.capabilities
         )
         self.intake.asks = made.asks
 
--- a/petrelway/front/terms.py
+++ b/petrelway/front/terms.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from ..interface import Tenant, Idempotency, Permits, Scope, RequestClass
+from ..interface import Tenant, Idempotency, Capabilities, Scope, RequestClass
 from .ask import Asks, Catalogue
 from .host import Function
 
@@ -19,13 +19,13 @@
     tenants: list[Tenant]
     request_class_names: list[str]
     tenant_names: list[str]
-    permits: Permits
+    capabilities: Capabilities
     latency_objective_ms: dict[str, float]
     longest_ms: float  # the longest outer limit
 
 
-def permits_of(told: Any) -> Permits:
-    return Permits(told.attempts, told.hedging, told.withdraw, False, False, told.longest_retry_ms)
+def capabilities_of(told: Any) -> Capabilities:
+    return Capabilities(told.attempts, told.hedging, told.withdraw, False, False, told.longest_retry_ms)
 
 
 def make(found: dict[str, Any], before: Terms | None = None) -> Terms:
@@ -58,7 +58,7 @@
         **{t.name: t.latency_objective_ms for t in found["tariffs"]},
     }
     longest_ms = max([before.longest_ms if before else 0.0, *(t.deadline_ms for t in found["tariffs"])])
-    return Terms(asks, request_classes, tenants, list(places), list(names), permits_of(found["permits"]), latency_objective_ms,
+    return Terms(asks, request_classes, tenants, list(places), list(names), capabilities_of(found["permits"]), latency_objective_ms,
                  longest_ms)  # fmt: skip
 
 
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -158,7 +158,7 @@
     zone: int
 
 
-class Permits(NamedTuple):
+class Capabilities(NamedTuple):
     """What the deployment lets a front end do."""
 
     attempts: int
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -127,7 +127,7 @@
             self.reactor,
             self.log,
             clients,
-            min(LEAVING_RETRY_MS, terms.permits.longest_retry_ms),
+            min(LEAVING_RETRY_MS, terms.capabilities.longest_retry_ms),
         )
         self.follower = Follower(
             *told.bus, terms.zones, terms.machines, self.reactor, self.connect, chance, self.listed, self.log
@@ -169,7 +169,7 @@
             streams=terms.streams,
             connect_ms=terms.connect_ms or 1e3,
             idle_ms=terms.idle_ms,
-            withdraws=terms.permits.withdraw,
+            withdraws=terms.capabilities.withdraw,
         )
 
     # -- the list of executors
@@ -217,7 +217,7 @@
             retry_ms = LEAVING_RETRY_MS
         elif (retry_ms := self.shedder.ask(self.now(), tenant, False)) <= 0.0:
             return None
-        return min(retry_ms, self.told.terms.permits.longest_retry_ms)
+        return min(retry_ms, self.told.terms.capabilities.longest_retry_ms)
 
     def _beat(self, due_ms: float) -> None:
         now = self.now()
--- a/petrelway/platform/told.py
+++ b/petrelway/platform/told.py
@@ -66,7 +66,7 @@
     Raises ProtocolError. Of bytes that `read_told` has read.
     """
     told = msgspec.json.decode(data)
-    if not read_terms(told.get("settings")).permits.tell:
+    if not read_terms(told.get("settings")).capabilities.tell:
         return None
     peers = told.get("peers")
     if type(peers) is not list or not peers:
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..settings.front import SHAPES, Strict, WhatIsPermitted, between
+from ..settings.front import SHAPES, Strict, CapabilitySettings, between
 from ..settings.reading import Fault, SettingsError, evaluate, sections
 
 TERMS = ("tariffs", "customers", "permits", "functions")
@@ -56,7 +56,7 @@
     '{"adoption":{"silent":"serve on"},"tenants":[],"functions":[],"permits":{"longest_retry_ms":1000.0,\
 "hedging":true,"attempts":3,"withdraw":true},"request classes":[]}'
     """
-    some = {"customers": [], "permits": WhatIsPermitted(), "adoption": Adoption(), **found}
+    some = {"customers": [], "permits": CapabilitySettings(), "adoption": Adoption(), **found}
     tree = {name: msgspec.to_builtins(some[name]) for name in SECTIONS}
     return json.dumps(tree, sort_keys=True, separators=(",", ":"))
 
@@ -66,7 +66,7 @@
     SettingsError."""
     found = sections(file, tree, SECTIONS, frozenset(("customers", "permits", "adoption")))
     found.setdefault("customers", [])
-    found.setdefault("permits", WhatIsPermitted())
+    found.setdefault("permits", CapabilitySettings())
     found.setdefault("adoption", Adoption())
     if faults := between({**settings, **found}):
         raise SettingsError(file, faults)
--- a/petrelway/settings/days.py
+++ b/petrelway/settings/days.py
@@ -19,7 +19,7 @@
     Some,
     Strict,
     RequestClassTerms,
-    WhatIsPermitted,
+    CapabilitySettings,
 )
 from .reading import Fault, SettingsError, evaluate, sections
 
@@ -193,7 +193,7 @@
     "rules": RulesFigures,
     "tariffs": Annotated[list[RequestClassTerms], Meta(min_length=1, max_length=20)],
     "customers": Annotated[list[TenantShare], Meta(min_length=1, max_length=100)],
-    "permits": WhatIsPermitted,
+    "permits": CapabilitySettings,
     "keeping": ReplicaRetention,
     "cold": ColdStart,
     "ration": Ration,
@@ -237,7 +237,7 @@
         ("roster", RosterTerms),
         ("network", NetworkTerms),
         ("rules", RulesFigures),
-        ("permits", WhatIsPermitted),
+        ("permits", CapabilitySettings),
         ("keeping", ReplicaRetention),
         ("ration", Ration),
     ):
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -70,7 +70,7 @@
     load_ms: Ms = 0.0
 
 
-class WhatIsPermitted(Strict):
+class CapabilitySettings(Strict):
     attempts: Annotated[int, Meta(ge=1, le=16)] = field(name="transmissions", default=3)
     hedging: bool = field(name="second_copies", default=True)
     withdraw: bool = True
@@ -150,7 +150,7 @@
     "tariffs": Annotated[list[RequestClassTerms], Meta(min_length=1, max_length=100)],
     "customers": Annotated[list[TenantShare], Meta(max_length=10_000)],
     "functions": Annotated[list[FunctionEntry], Meta(min_length=1, max_length=100_000)],
-    "permits": WhatIsPermitted,
+    "permits": CapabilitySettings,
     "keeping": ReplicaRetention,
     "cold": ColdStart,
     "ration": Ration,
@@ -175,7 +175,7 @@
     found = sections(file, tree, SHAPES, OPTIONAL)
     found.setdefault("customers", [])
     for name, shape in (
-        ("permits", WhatIsPermitted),
+        ("permits", CapabilitySettings),
         ("keeping", ReplicaRetention),
         ("ration", Ration),
         ("log", LogWanted),
--- a/petrelway/terms.py
+++ b/petrelway/terms.py
@@ -16,7 +16,7 @@
     Idempotency,
     Keeping,
     LoadRation,
-    Permits,
+    Capabilities,
     Place,
     Scope,
     RequestClass,
@@ -36,7 +36,7 @@
     place: Place
     request_classes: list[RequestClass]
     tenants: list[Tenant]
-    permits: Permits
+    capabilities: Capabilities
     keeping: Keeping
     cold: ColdRule
     ration: LoadRation
@@ -55,7 +55,7 @@
             self.place,
             self.request_classes,
             self.tenants,
-            self.permits,
+            self.capabilities,
             self.keeping,
             self.cold,
             self.ration,
@@ -184,7 +184,7 @@
         told.whole("zone", 0, max(0, len(zones) - 1), 0),
     )
     limits, family, rules = (told.part(key) for key in ("limits", "familyInfo", "invariants"))
-    permits = Permits(
+    capabilities = Capabilities(
         limits.whole("sendCap", 1, 1000),
         limits.flag("secondCopies"),
         limits.flag("cancel"),
@@ -221,7 +221,7 @@
         place,
         request_classes,
         tenants,
-        permits,
+        capabilities,
         keeping,
         cold,
         ration,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -402,4 +402,4 @@
     assert read_terms(without(SETTINGS, "orgs")).tenants == []
     assert read_terms(told(later={"x": 1})) == read_terms(SETTINGS)
     assert read_terms(told(orgs=None)).tenants == []  # null stands for an absent value
-    assert read_terms(told("limits", probes=None)).permits.probes is False
+    assert read_terms(told("limits", probes=None)).capabilities.probes is False
