--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -342,7 +342,7 @@
         t.answered = t.answered or finished
         if sent.sent_ms >= e.endpoint.started_ms or not e.endpoint.started_ms:
             self._learn(now, t, sent, outcome, took_ms, warmth)
-        if outcome not in (Outcome.SUCCEEDED, Outcome.WITHDRAWN, Outcome.MISS):
+        if outcome not in (Outcome.SUCCEEDED, Outcome.CANCELLED, Outcome.MISS):
             t.tried.add(e.endpoint.executor)
         self.attention.append(request)
 
@@ -376,7 +376,7 @@
             # danger: some refuse one tenant only, and slowly; that says nothing of the rest
             if took_ms > REFUSED_MS and not self._untimely(now):
                 e.refused[t.tenant] = now + REFUSED_REST_MS
-        elif outcome not in (Outcome.WITHDRAWN, Outcome.UNSENT) and warmth is not Warmth.LOAD_FAILED:
+        elif outcome not in (Outcome.CANCELLED, Outcome.UNSENT) and warmth is not Warmth.LOAD_FAILED:
             self._doubted(e, now)  # danger: one that fails fast looks idle
 
     def _doubted(self, e: Executor, now: float) -> None:
@@ -565,18 +565,18 @@
 
     def _for_request(self, t: Request, now: float) -> Decision | None:
         if t.answered:
-            return self._withdraw(t)
+            return self._cancel_attempt(t)
         if now >= t.answer_deadline_ms or not t.out and t.sent >= t.capabilities.attempts:
             return self._give_up(t)
         return self._second(t, now) if t.out else self._place(t, now)
 
-    def _withdraw(self, t: Request) -> Decision | None:
+    def _cancel_attempt(self, t: Request) -> Decision | None:
         """Nobody waits for these attempts any more: spare the executors the work."""
         t.function.held.pop(t.index, None)
         for sent in t.out.values():
-            if not sent.withdrawn and t.capabilities.withdraw:
-                sent.withdrawn = True
-                return Decision(Verb.WITHDRAW, t.index, number=sent.number)
+            if not sent.cancelled and t.capabilities.cancel_attempt:
+                sent.cancelled = True
+                return Decision(Verb.CANCEL, t.index, number=sent.number)
         if not t.out and self.requests.pop(t.index, None):
             self.free.requests.append(t.index)
         return None
--- a/petrelway/choice_state.py
+++ b/petrelway/choice_state.py
@@ -44,7 +44,7 @@
         self.due_ms = due_ms
         self.busy = True  # not known to wait for a load
         self.overdue = False
-        self.withdrawn = False
+        self.cancelled = False
 
     def run(self) -> Run:
         """Where it went, by the present list."""
--- a/petrelway/drill/codec.py
+++ b/petrelway/drill/codec.py
@@ -16,7 +16,7 @@
     "T": Outcome.TIMEOUT,
     "C": Outcome.UNREACHABLE,
     "R": Outcome.RESET,
-    "X": Outcome.WITHDRAWN,
+    "X": Outcome.CANCELLED,
     "N": Outcome.UNSENT,
     "M": Outcome.MISS,
 }
@@ -113,7 +113,7 @@
         function = self.functions.wire.get(d.function)
         if d.verb is Verb.SEND:
             return ["forward", self.name, request, executor, d.ms / 1e3]
-        if d.verb is Verb.WITHDRAW:
+        if d.verb is Verb.CANCEL:
             return ["dropAttempt", self.name, request, d.number]
         if d.verb is Verb.REJECT:
             return ["bounce", self.name, request, d.ms / 1e3]
--- a/petrelway/emulator/links.py
+++ b/petrelway/emulator/links.py
@@ -220,7 +220,7 @@
         wire.say(wire.life.receive, wire, *key, mark, turn, function, memory_mb, lanes, request_class,
             tenant, remaining_ms, real_ms, io_ms)  # fmt: skip
 
-    def withdraw(self, key: Key, outcome: Outcome = Outcome.WITHDRAWN) -> Outcome | None:
+    def cancel_attempt(self, key: Key, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
         if key in self.dialling:
             self.dialling.pop(key)
             return Outcome.UNSENT
@@ -228,13 +228,13 @@
             return None
         del self.out[key]
         if (wire := self.wire) is not None:
-            wire.say(self._withdrawn, wire, *key)
+            wire.say(self._cancelled, wire, *key)
         return outcome
 
     @staticmethod
-    def _withdrawn(wire: Wire, serial: int, number: int) -> None:
+    def _cancelled(wire: Wire, serial: int, number: int) -> None:
         if wire.life.machine is not None:
-            wire.life.machine.withdraw(wire, serial, number)
+            wire.life.machine.cancel_attempt(wire, serial, number)
 
     def order(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
         wire = self._connected()
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -464,7 +464,7 @@
         if t is not None:
             self._answer(t, Answer(FAILED))
             for number in sorted(t.out):
-                self._withdraw(t, number)
+                self._cancel_attempt(t, number)
         if failures < FAILURES_BOUND:
             return True
         self.log.critical("decisions fail again and again: all that is owed is broken off", failures=failures)
@@ -489,8 +489,8 @@
             self._answer(self.taken[d.request], Answer(REJECTED, d.ms))
         elif verb is Verb.FAIL:
             self._answer(self.taken[d.request], Answer(FAILED))
-        elif verb is Verb.WITHDRAW:
-            self._withdraw(self.taken[d.request], d.number)
+        elif verb is Verb.CANCEL:
+            self._cancel_attempt(self.taken[d.request], d.number)
         elif verb is Verb.PREFETCH:
             self._order(d.executor, d.function, d.number, now)
         elif verb is Verb.UNLOAD:
@@ -527,14 +527,14 @@
 
     def _time_out(self, t: Taken, number: int) -> None:
         t.out[number].timer = None
-        self._withdraw(t, number, Outcome.TIMEOUT)
+        self._cancel_attempt(t, number, Outcome.TIMEOUT)
 
-    def _withdraw(self, t: Taken, number: int, outcome: Outcome = Outcome.WITHDRAWN) -> None:
+    def _cancel_attempt(self, t: Taken, number: int, outcome: Outcome = Outcome.CANCELLED) -> None:
         out = t.out.get(number)
         if out is None:
             return
         link = self.links.get(out.executor)
-        ended = link.withdraw((t.serial, number), outcome) if link is not None else None
+        ended = link.cancel_attempt((t.serial, number), outcome) if link is not None else None
         self.attempt_ended(out.executor, (t.serial, number), ended or outcome, 0, 0, codec.Load(), "", b"")
 
     def _order(self, executor: int, function: int, replicas: int, now: float) -> None:
@@ -604,6 +604,6 @@
         self.turning = True  # no further turn
         for t in list(self.taken.values()):
             for number in sorted(t.out):
-                self._withdraw(t, number)
+                self._cancel_attempt(t, number)
         for link in list(self.links.values()):
             link.close()
--- a/petrelway/front/link_base.py
+++ b/petrelway/front/link_base.py
@@ -117,6 +117,6 @@
                 hand_over(left_ms)
             else:
                 expired += 1
-                self.withdraw(key)  # no byte of it left: UNSENT
+                self.cancel_attempt(key)  # no byte of it left: UNSENT
                 self.report_unanswered(key, Outcome.UNSENT)
         return expired
--- a/petrelway/front/links.py
+++ b/petrelway/front/links.py
@@ -152,7 +152,7 @@
         """The one that has waited longest."""
         self.wire.transport.write(self.frames.pop(self.ledger.hand_over())(left_ms))
 
-    def withdraw(self, key: Key, outcome: Outcome = Outcome.WITHDRAWN) -> Outcome | None:
+    def cancel_attempt(self, key: Key, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
         """Nobody waits any more: what it ended as, or None if it is not out here."""
         given_up = self.ledger.give_up(key, outcome)
         if given_up is None:
@@ -160,7 +160,7 @@
         handed, ended = given_up
         self.frames.pop(key, None)
         if handed and self.wire is not None:
-            self.wire.transport.write(codec.withdraw(*key))
+            self.wire.transport.write(codec.cancel_attempt(*key))
         return ended
 
     def order(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
--- a/petrelway/front/terms.py
+++ b/petrelway/front/terms.py
@@ -25,7 +25,7 @@
 
 
 def capabilities_of(told: Any) -> Capabilities:
-    return Capabilities(told.attempts, told.hedging, told.withdraw, False, False, told.longest_retry_ms)
+    return Capabilities(told.attempts, told.hedging, told.cancel_attempt, False, False, told.longest_retry_ms)
 
 
 def make(found: dict[str, Any], before: Terms | None = None) -> Terms:
--- a/petrelway/interface.py
+++ b/petrelway/interface.py
@@ -43,7 +43,7 @@
     TIMEOUT = 3
     UNREACHABLE = 4
     RESET = 5
-    WITHDRAWN = 6
+    CANCELLED = 6
     UNSENT = 7
     MISS = 8
 
@@ -60,7 +60,7 @@
     Outcome.TIMEOUT: "timeout",
     Outcome.UNREACHABLE: "unreachable",
     Outcome.RESET: "reset",
-    Outcome.WITHDRAWN: "withdrawn",
+    Outcome.CANCELLED: "withdrawn",
     Outcome.UNSENT: "unsent",
     Outcome.MISS: "miss",
 }
@@ -96,7 +96,7 @@
     """What the host is asked to do."""
 
     SEND = "send"
-    WITHDRAW = "withdraw"
+    CANCEL = "withdraw"
     REJECT = "nack"
     FAIL = "break off"
     PREFETCH = "order to load"
@@ -163,7 +163,7 @@
 
     attempts: int
     hedging: bool
-    withdraw: bool
+    cancel_attempt: bool
     probes: bool
     tell: bool
     longest_retry_ms: float  # 0: no retry time may be given
--- a/petrelway/node/links.py
+++ b/petrelway/node/links.py
@@ -203,13 +203,13 @@
         streams: int,
         connect_ms: float,
         idle_ms: float,
-        withdraws: bool,
+        cancels: bool,
     ) -> None:
         """`withdraws`: whether the deployment lets a attempt be given up."""
         self.executor, self.stable, self.address, self.port = executor, stable, address, port
         self.clock, self.connect, self.chance = clock, connect, chance
         self.listener, self.log = listener, log
-        self.room, self.streams, self.connect_ms, self.withdraws = room, streams, connect_ms, withdraws
+        self.room, self.streams, self.connect_ms, self.cancels = room, streams, connect_ms, cancels
         self.idle_ms = IDLE_SHARE * idle_ms or math.inf
         self.backoff = Backoff(chance, RETRY_LEAST_MS, RETRY_MOST_MS)
         self.not_before_ms = 0.0  # no dial before this
@@ -270,7 +270,7 @@
             return None if wire.lost else wire
         return shared
 
-    def withdraw(self, key: Key, outcome: Outcome = Outcome.WITHDRAWN) -> Outcome | None:
+    def cancel_attempt(self, key: Key, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
         """Nobody waits any more: what it ended as, or None if it is not out here."""
         if key not in self.where:
             return None
@@ -280,8 +280,8 @@
         del wire.open[id]
         if handed:
             wire.give_up(id)
-            if self.withdraws:
-                wire.transport.write(frames.withdraw(id))
+            if self.cancels:
+                wire.transport.write(frames.cancel_attempt(id))
             self._doubt(max(since_ms, wire.up_ms))
             wire.tidy()
         return ended
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -169,7 +169,7 @@
             streams=terms.streams,
             connect_ms=terms.connect_ms or 1e3,
             idle_ms=terms.idle_ms,
-            withdraws=terms.capabilities.withdraw,
+            cancels=terms.capabilities.cancel_attempt,
         )
 
     # -- the list of executors
--- a/petrelway/platform/frames.py
+++ b/petrelway/platform/frames.py
@@ -19,7 +19,7 @@
 FROM_FRONT_END, FROM_EXECUTOR = 1, 2
 FIELDS_BOUND = 4096  # bytes of an answer's fields
 BODY_BOUND = 1 << 18  # and of its body; checked before anything is collected
-SEND, WITHDRAW, PROBE, PREFETCH, UNLOAD = 10, 11, 12, 14, 16
+SEND, CANCEL, PROBE, PREFETCH, UNLOAD = 10, 11, 12, 14, 16
 OUTCOMES = {
     100: Outcome.SUCCEEDED,
     102: Outcome.MISS,
@@ -59,8 +59,8 @@
     return frame(SEND, passed.call, fields.encode(), passed.body)
 
 
-def withdraw(id: bytes) -> bytes:
-    return frame(WITHDRAW, id)
+def cancel_attempt(id: bytes) -> bytes:
+    return frame(CANCEL, id)
 
 
 def probe(id: bytes) -> bytes:
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -73,7 +73,7 @@
 class CapabilitySettings(Strict):
     attempts: Annotated[int, Meta(ge=1, le=16)] = field(name="transmissions", default=3)
     hedging: bool = field(name="second_copies", default=True)
-    withdraw: bool = True
+    cancel_attempt: bool = field(name="withdraw", default=True)
     longest_retry_ms: Ms = 1000.0
 
 
--- a/petrelway/standin/executors.py
+++ b/petrelway/standin/executors.py
@@ -91,9 +91,9 @@
             io_ms,
         )
 
-    def withdrawn(self, serial: int, number: int) -> None:
+    def cancelled(self, serial: int, number: int) -> None:
         if self.executor.machine is not None:
-            self.executor.machine.withdraw(self, serial, number)
+            self.executor.machine.cancel_attempt(self, serial, number)
 
     def load_requested(self, id, function, replicas, memory_mb, lanes) -> None:
         self.executor.load_requested(self, id, function, replicas, memory_mb, lanes)
--- a/petrelway/standin/machine.py
+++ b/petrelway/standin/machine.py
@@ -191,7 +191,7 @@
             return
         self._dispatch(f)
 
-    def withdraw(self, front: object, serial: int, number: int) -> None:
+    def cancel_attempt(self, front: object, serial: int, number: int) -> None:
         if (job := self.jobs.get((front, serial, number))) is not None:
             self._drop(job)
 
--- a/petrelway/wire/codec.py
+++ b/petrelway/wire/codec.py
@@ -50,7 +50,7 @@
         body: bytes,
     ) -> None: ...
 
-    def withdrawn(self, serial: int, number: int) -> None: ...
+    def cancelled(self, serial: int, number: int) -> None: ...
 
     def load_requested(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> None: ...
 
@@ -123,7 +123,7 @@
     )
 
 
-def withdraw(serial: int, number: int) -> bytes:
+def cancel_attempt(serial: int, number: int) -> bytes:
     return frame(pb.FromFront(withdraw=pb.Withdraw(serial=serial, number=number)).SerializeToString())
 
 
@@ -229,7 +229,7 @@
             m.body,
         )
     elif kind == "withdraw":
-        side.withdrawn(message.withdraw.serial, message.withdraw.number)
+        side.cancelled(message.withdraw.serial, message.withdraw.number)
     elif kind == "order":
         m = message.order
         _names(m.function)
@@ -279,7 +279,7 @@
 
 
 # danger: an executor that could say UNREACHABLE or UNSENT would have a one-shot request run twice
-SAYABLE = frozenset((0, 1, 2, 6, 8))  # SUCCEEDED, ERROR, FULL, WITHDRAWN, MISS of interface.Outcome
+SAYABLE = frozenset((0, 1, 2, 6, 8))  # SUCCEEDED, ERROR, FULL, CANCELLED, MISS of interface.Outcome
 
 
 def _parse(message: pb.FromFront | pb.FromExecutor, payload: bytes):
--- a/petrelway/worker/desk.py
+++ b/petrelway/worker/desk.py
@@ -190,7 +190,7 @@
             ask.warmth = BEGAN
             self._wait(ask)
 
-    def withdrawn(self, now: float, front: Any, serial: int, number: int) -> None:
+    def cancelled(self, now: float, front: Any, serial: int, number: int) -> None:
         if (ask := self.asks.get((front, serial, number))) is not None:
             self._give_up(ask, now)
 
--- a/petrelway/worker/serving.py
+++ b/petrelway/worker/serving.py
@@ -119,8 +119,8 @@
             body,
         )
 
-    def withdrawn(self, serial: int, number: int) -> None:
-        self.worker.tell(self.worker.desk.withdrawn, self, serial, number)
+    def cancelled(self, serial: int, number: int) -> None:
+        self.worker.tell(self.worker.desk.cancelled, self, serial, number)
 
     def load_requested(self, id, function, replicas, memory_mb, lanes) -> None:
         w = self.worker
--- a/tests/compatibility/forms_drill.py
+++ b/tests/compatibility/forms_drill.py
@@ -20,7 +20,7 @@
 KNOCK = ["knock", "a", "r1", 1200.0, 0.25, 1.5, 2, "fn-1", 0, 1, 3, 512.0]
 DECISIONS = {
     "send": Decision(Verb.SEND, 0, 0, 0, 1, 1500.0),
-    "withdraw": Decision(Verb.WITHDRAW, 0, 0, 0, 1),
+    "withdraw": Decision(Verb.CANCEL, 0, 0, 0, 1),
     "nack": Decision(Verb.REJECT, 0, ms=250.0),
     "break-off": Decision(Verb.FAIL, 0),
     "order": Decision(Verb.PREFETCH, -1, 0, 0, 2),
--- a/tests/compatibility/forms_platform.py
+++ b/tests/compatibility/forms_platform.py
@@ -60,7 +60,7 @@
     return {
         "send": frames.send(Passed(CALL, "safe", standin.FUNCTION, "", b"\x00body"), 1499.9),
         "send.once": frames.send(Passed(CALL, "keyed", standin.FUNCTION, standin.ONCE, b""), 0.2),
-        "withdraw": frames.withdraw(CALL),
+        "withdraw": frames.cancel_attempt(CALL),
         "probe": frames.probe(CALL),
         "order": frames.order(CALL, standin.FUNCTION, 2),
         "unload": frames.unload(standin.FUNCTION),
--- a/tests/compatibility/forms_wire.py
+++ b/tests/compatibility/forms_wire.py
@@ -53,7 +53,7 @@
     return {
         f"{FROM_FRONT}.greeting": codec.greeting("front-1", "p1"),
         f"{FROM_FRONT}.send": codec.send(*SEND),
-        f"{FROM_FRONT}.withdraw": codec.withdraw(7, 1),
+        f"{FROM_FRONT}.withdraw": codec.cancel_attempt(7, 1),
         f"{FROM_FRONT}.order": codec.order(3, "f", 2, 512.0, 4),
         f"{FROM_FRONT}.unload": codec.unload("f"),
         f"{FROM_FRONT}.probe": codec.probe(9),
--- a/tests/doubles.py
+++ b/tests/doubles.py
@@ -105,7 +105,7 @@
     def sent(self, serial, number, mark, function, *rest):
         self.said.append(("sent", serial, number, function))
 
-    def withdrawn(self, serial, number):
+    def cancelled(self, serial, number):
         self.said.append(("withdrawn", serial, number))
 
     def load_requested(self, id, function, replicas, memory_mb, lanes):
--- a/tests/test_alike.py
+++ b/tests/test_alike.py
@@ -207,10 +207,10 @@
         lambda f: f.send(1, mb=900.0).order(7, mb=900.0).run(0.3),
         [*HELLO, (1, FULL, 0), ("stood", 7, FULL, 0)],
     ),
-    "withdrawn while it waits": (False, lambda f: f.send(1).say(codec.withdraw(1, 0)).run(1.5), HELLO),
+    "withdrawn while it waits": (False, lambda f: f.send(1).say(codec.cancel_attempt(1, 0)).run(1.5), HELLO),
     "withdrawn while it runs": (
         False,
-        lambda f: f.send(1).run(0.55).say(codec.withdraw(1, 0)).run(1.0),
+        lambda f: f.send(1).run(0.55).say(codec.cancel_attempt(1, 0)).run(1.0),
         HELLO,
     ),
     "out of time": (False, lambda f: f.send(1, left=200.0).run(1.0), HELLO),
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -107,7 +107,7 @@
         (Outcome.ERROR, 3, {1}),
         (Outcome.UNREACHABLE, 3, {1}),
         (Outcome.RESET, 3, {1}),
-        (Outcome.WITHDRAWN, 3, {0, 1}),
+        (Outcome.CANCELLED, 3, {0, 1}),
         (Outcome.FULL, 3, {0, 1}),
     ):
         host = Host(2)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -86,7 +86,7 @@
     rig.take("late", remaining=3500.0)
     rig.take("urgent", remaining=900.0)
     left = rig.take("left")
-    rig.desk.withdrawn(rig.now, "a", left, 0)
+    rig.desk.cancelled(rig.now, "a", left, 0)
     order = []
     for _ in range(4):
         load = next(iter(rig.desk.loads.under_way))
@@ -202,7 +202,7 @@
     two = rig.take(keyed=2000.0, mark="m", front="b")
     three = rig.take(keyed=2000.0, mark="m", front="c")
     rig.pull()
-    rig.desk.withdrawn(rig.now, "a", one, 0)  # the first leaves before it ran: the next takes its place
+    rig.desk.cancelled(rig.now, "a", one, 0)  # the first leaves before it ran: the next takes its place
     rig.desk.load_stood(rig.now, 1)
     calls = [a for a in rig.pull() if a.do is Do.CALL]
     assert len(calls) == 1
@@ -229,7 +229,7 @@
     rig.load()
     serial, beside = rig.take(), rig.take(remaining=9000.0)
     rig.pull()
-    rig.desk.withdrawn(rig.now, "a", serial, 0)
+    rig.desk.cancelled(rig.now, "a", serial, 0)
     assert [do for do, *_ in rig.does()] == [Do.STOP_CALL]
     acts = rig.pull(900.0)  # it ignores the stop
     assert [a.do for a in acts] == [Do.END_REPLICA] and "stop" in acts[0].text
@@ -324,7 +324,7 @@
             slots=4,
             line=3,
         )
-        owed, calls, loads, withdrawn = set(), [], [], set()
+        owed, calls, loads, cancelled = set(), [], [], set()
         for _ in range(250):
             what = chance.randrange(10)
             if what <= 3:
@@ -354,8 +354,8 @@
             elif what == 7 and owed:
                 serial = chance.choice(sorted(owed))
                 for front in "ab":
-                    rig.desk.withdrawn(rig.now, front, serial, 0)
-                withdrawn.add(serial)
+                    rig.desk.cancelled(rig.now, front, serial, 0)
+                cancelled.add(serial)
             elif what == 8:
                 rig.desk.load_requested(
                     rig.now, "a", rig.serial, chance.choice("fgh"), chance.choice([0, 1, 2]), 200.0, 2
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -175,7 +175,7 @@
     rig = Rig()
     rig.send(1)
     rig.run(0.005)
-    assert rig.link.withdraw((1, 0)) is Outcome.WITHDRAWN and rig.link.withdraw((1, 0)) is None
+    assert rig.link.cancel_attempt((1, 0)) is Outcome.CANCELLED and rig.link.cancel_attempt((1, 0)) is None
     assert (
         rig.link.order(7, "model-1", 1, 300.0, 4) is None
         and rig.link.order(8, "model-1", 2, 300.0, 4) is None
--- a/tests/test_forward_clock.py
+++ b/tests/test_forward_clock.py
@@ -47,10 +47,10 @@
                 out.append((decision.request, request.sent - 1, decision.executor))
             elif decision.verb in (Verb.REJECT, Verb.FAIL):
                 answered.setdefault(decision.request, host.real_ms)
-            elif decision.verb is Verb.WITHDRAW:
+            elif decision.verb is Verb.CANCEL:
                 ended = next(o for o in out if o[:2] == (decision.request, decision.number))
                 out.remove(ended)
-                host.end(*ended[:1], Outcome.WITHDRAWN, *ended[1:])
+                host.end(*ended[:1], Outcome.CANCELLED, *ended[1:])
             elif decision.verb is Verb.PREFETCH:
                 host.fe.load_request_answered(
                     host.now, decision.executor, decision.function, Outcome.SUCCEEDED, 1, 100.0
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -119,7 +119,7 @@
         (told(1), Outcome.ERROR),
         (told(2), Outcome.FULL),
         (told(8), Outcome.MISS),
-        (told(6), Outcome.WITHDRAWN),
+        (told(6), Outcome.CANCELLED),
     ]
     for play, expected in table:
         rig = Rig()
@@ -130,16 +130,16 @@
 def test_withdrawal_and_time_out():
     rig = Rig()
     rig.send(1)
-    assert rig.link.withdraw((1, 0)) is Outcome.UNSENT  # it waited here: no byte of it left
+    assert rig.link.cancel_attempt((1, 0)) is Outcome.UNSENT  # it waited here: no byte of it left
     rig.up()
     assert rig.heard.pull() == [("greeted", "front")]
     rig.send(2)
-    assert rig.link.withdraw((2, 0)) is Outcome.WITHDRAWN
+    assert rig.link.cancel_attempt((2, 0)) is Outcome.CANCELLED
     rig.send(3)
-    assert rig.link.withdraw((3, 0), Outcome.TIMEOUT) is Outcome.TIMEOUT
+    assert rig.link.cancel_attempt((3, 0), Outcome.TIMEOUT) is Outcome.TIMEOUT
     assert rig.heard.pull()[-1] == ("withdrawn", 3, 0)
     rig.say(ended(3, 0))  # too late: nobody hears of it twice
-    assert rig.ears.ends == [] and rig.link.withdraw((3, 0)) is None
+    assert rig.ears.ends == [] and rig.link.cancel_attempt((3, 0)) is None
 
 
 def test_bounds_and_back_pressure():
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -194,13 +194,13 @@
         serial = rig.take(work=500.0, until=5000.0 if way == "withdrawn" else 100.0)
         rig.run(100)
         if way == "withdrawn":
-            rig.m.withdraw("front", serial, 0)
+            rig.m.cancel_attempt("front", serial, 0)
         rig.run(10)
         assert rig.m.in_work == 0 and rig.m.shared == 0 and rig.m.jobs == {}, way
     with_io = rig.take(io=200.0)
     rig.run(150)
     assert rig.m.in_work == 1 and rig.m.shared == 0  # it waits on another system: its slot, but no core
-    rig.m.withdraw("front", with_io, 0)
+    rig.m.cancel_attempt("front", with_io, 0)
     rig.run(300)
     assert rig.ends == [] and rig.m.in_work == 0
     rig.take("g", until=50.0)  # its load goes on when it has left
--- a/tests/test_node_links.py
+++ b/tests/test_node_links.py
@@ -34,7 +34,7 @@
 
 
 class Rig:
-    def __init__(self, room=8, streams=4, withdraws=True):
+    def __init__(self, room=8, streams=4, cancels=True):
         self.clock, self.net, self.ears, self.log, self.room = clock(), Net(), Ears(), Log(), Room(room)
         self.link = PlatformLink(
             0,
@@ -52,7 +52,7 @@
             streams,
             250.0,
             30_000.0,
-            withdraws,
+            cancels,
         )
         self.clock.advance(0)  # the first dial
 
@@ -168,14 +168,14 @@
     rig = Rig(room=1)
     wire, pipe = rig.up()
     rig.send(5, 0)
-    assert rig.link.withdraw((5, 0)) is Outcome.WITHDRAWN
+    assert rig.link.cancel_attempt((5, 0)) is Outcome.CANCELLED
     assert [c[0] for c in commands(pipe.take())] == [10, 11]
     rig.send(5, 1)  # the only connection has given the id up: it must not be used there again
     assert pipe.take() == b"" and rig.ended() == [((5, 1), Outcome.UNSENT)]
     rig = Rig(room=2)
     wire, pipe = rig.up()
     rig.send(5, 0)
-    rig.link.withdraw((5, 0))
+    rig.link.cancel_attempt((5, 0))
     rig.send(5, 1)
     other, second = rig.up()
     wire.dataReceived(answer(102, call(5)))
@@ -220,7 +220,7 @@
     rig.step(20)
     rig.send(3)
     rig.step(links.SILENT_MS + 50)
-    assert rig.link.withdraw((3, 0), Outcome.TIMEOUT) is Outcome.TIMEOUT
+    assert rig.link.cancel_attempt((3, 0), Outcome.TIMEOUT) is Outcome.TIMEOUT
     assert up[1][1].closed  # silent since it was used; nothing else is out on it
     rig.step(links.SWEEP_MS + 10)
     while rig.net.dialled:
@@ -235,7 +235,7 @@
     rig.step(links.SILENT_MS + 50)
     up[1][0].dataReceived(answer(100, call(2)))
     rig.ended()
-    rig.link.withdraw((1, 0), Outcome.TIMEOUT)
+    rig.link.cancel_attempt((1, 0), Outcome.TIMEOUT)
     assert up[0][1].closed and not up[1][1].closed
 
 
@@ -247,7 +247,7 @@
     rig.send(2)
     wire.dataReceived(answer(100, call(2)))
     rig.step(links.SILENT_MS + 50)
-    rig.link.withdraw((1, 0), Outcome.TIMEOUT)
+    rig.link.cancel_attempt((1, 0), Outcome.TIMEOUT)
     assert not pipe.closed
 
 
@@ -367,11 +367,11 @@
 
 
 def test_what_is_said_of_a_attempt():
-    for withdraws, codes in ((True, [10, 11]), (False, [10])):  # where the deployment allows no withdrawal
-        rig = Rig(withdraws=withdraws)
+    for cancels, codes in ((True, [10, 11]), (False, [10])):  # where the deployment allows no withdrawal
+        rig = Rig(cancels=cancels)
         _, pipe = rig.up()
         rig.send(1, id=bytes.fromhex(CALL))
-        rig.link.withdraw((1, 0))
+        rig.link.cancel_attempt((1, 0))
         said = commands(pipe.take())
         assert [c[0] for c in said] == codes
         assert said[0] == (10, bytes.fromhex(CALL), {"class": "safe", "key": FUNCTION, "wait": "900"}, b"in")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -234,7 +234,7 @@
             frames.send(Passed(ID, "safe", FUNCTION, "", b""), 0.2),
             (10, ID, {"class": "safe", "key": FUNCTION, "wait": "1"}, b""),
         ),
-        (frames.withdraw(ID), (11, ID, {}, b"")),
+        (frames.cancel_attempt(ID), (11, ID, {}, b"")),
         (frames.probe(ID), (12, ID, {}, b"")),
         (frames.order(ID, FUNCTION, 2), (14, ID, {"key": FUNCTION, "count": "2"}, b"")),
         (frames.unload(FUNCTION), (16, bytes.fromhex(FUNCTION), {}, b"")),
--- a/tests/test_ranking_front_end.py
+++ b/tests/test_ranking_front_end.py
@@ -130,7 +130,7 @@
         """All that is out ends, and the clients' time passes."""
         self.pull(5000.0)
         for attempt in list(self.out):
-            self.end(attempt, Outcome.WITHDRAWN)
+            self.end(attempt, Outcome.CANCELLED)
         self.out.clear()
         self.pull(5000.0)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 H, S, ONE = Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT
 ALL, ZONE, CELL = Scope.ALL, Scope.ZONE, Scope.CELL
 SUCCEEDED, ERROR, FULL, TIMEOUT = Outcome.SUCCEEDED, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT
-UNREACHABLE, RESET, WITHDRAWN, UNSENT = Outcome.UNREACHABLE, Outcome.RESET, Outcome.WITHDRAWN, Outcome.UNSENT
+UNREACHABLE, RESET, CANCELLED, UNSENT = Outcome.UNREACHABLE, Outcome.RESET, Outcome.CANCELLED, Outcome.UNSENT
 
 
 def test_one_final_answer():
@@ -48,10 +48,10 @@
         (S, ZONE, ERROR, 0.0, "SEND", "zone"),
         (S, ZONE, RESET, 3960.0, "FAIL", None),
         (S, CELL, ERROR, 0.0, "SEND", "cell"),
-        (S, CELL, WITHDRAWN, 3960.0, "FAIL", None),
+        (S, CELL, CANCELLED, 3960.0, "FAIL", None),
         (ONE, ALL, ERROR, 0.0, "FAIL", None),
         (ONE, ALL, TIMEOUT, 0.0, "FAIL", None),
-        (ONE, ALL, WITHDRAWN, 0.0, "FAIL", None),
+        (ONE, ALL, CANCELLED, 0.0, "FAIL", None),
         (ONE, ALL, UNREACHABLE, 0.0, "SEND", None),
         (ONE, ALL, FULL, 0.0, "SEND", None),
         (ONE, ALL, UNSENT, 0.0, "SEND", None),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -26,7 +26,7 @@
         codec.send(7, 1, "s\n1", "f", 512.0, 4, "status", "north", 900.5, 120.0, "text/plain", b"x"),
         ("sent", 7, 1, "s\n1", "f", 512.0, 4, "status", "north", 900.5, 120.0, "text/plain", b"x"),
     ),
-    (codec.withdraw(7, 1), ("withdrawn", 7, 1)),
+    (codec.cancel_attempt(7, 1), ("withdrawn", 7, 1)),
     (codec.order(3, "f", 2, 512.0, 4), ("load_requested", 3, "f", 2, 512.0, 4)),
     (codec.unload("f"), ("unloaded", "f")),
     (codec.probe(9), ("asked", 9)),
--- a/tests/test_worker_process.py
+++ b/tests/test_worker_process.py
@@ -341,14 +341,14 @@
     pid = int(rig.front.ask()[2].split()[1])
     stopped = rig.front.send("busy 600")
     until(lambda: rig.front.report().in_hand == 1, "not running")
-    rig.front.sock.sendall(codec.withdraw(stopped, 0))
+    rig.front.sock.sendall(codec.cancel_attempt(stopped, 0))
     until(lambda: rig.front.report().in_hand == 0, "it does not stop")
     rig.front.send("busy 600", left=200.0)  # and out of time
     until(lambda: rig.front.report().in_hand == 0, "it does not stop")
     assert int(rig.front.ask()[2].split()[1]) == pid  # the copy lives on
     deaf = rig.front.send("deaf 600")
     until(lambda: rig.front.report().in_hand == 1, "not running")
-    rig.front.sock.sendall(codec.withdraw(deaf, 0))
+    rig.front.sock.sendall(codec.cancel_attempt(deaf, 0))
     until(lambda: rig.front.report().in_hand == 0, "a copy that ignores the stop is not killed")
     assert int(rig.front.ask()[2].split()[1]) != pid
 
