--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -213,8 +213,8 @@
     """us of CPU a second of one member on loopback whose listed peers never answer."""
     from twisted.internet import reactor
 
-    chance = random.Random(os.urandom(8))
-    plan = FleetPlan(size, chance.randrange(64, 127), chance.randrange(20_000, 30_000))
+    random_source = random.Random(os.urandom(8))
+    plan = FleetPlan(size, random_source.randrange(64, 127), random_source.randrange(20_000, 30_000))
     group = HollowGroup(reactor, plan, range(1))
     spent_s: list[float] = []
     group.start(introduced=False)
--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -152,9 +152,9 @@
 
     from petrelway.console.sketch import TopNames
 
-    chance = random.Random(1)
+    random_source = random.Random(1)
     names = [
-        f"once-{i}" if chance.random() < 0.3 else f"function-{int(chance.paretovariate(0.6))}"
+        f"once-{i}" if random_source.random() < 0.3 else f"function-{int(random_source.paretovariate(0.6))}"
         for i in range(400_000)
     ]
     found = {}
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -44,13 +44,13 @@
 
     def __init__(self, module, executors: int, seconds: float, seed: int = 1) -> None:
         self.now, self.spent, self.requests = START_MS, 0.0, 0
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.count = executors
         self.events: list[tuple] = []
         self.order = 0
         self.first: list[int] = []  # executor of each request's first attempt
         self.sent: dict[int, int] = {}
-        self.speed = [self.chance.uniform(0.7, 1.6) for _ in range(executors)]
+        self.speed = [self.random_source.uniform(0.7, 1.6) for _ in range(executors)]
         self.has: list[dict[int, float]] = [{} for _ in range(executors)]
         self.fe = module.FrontEnd(
             self.now,
@@ -95,15 +95,15 @@
             self.pull()
 
     def arrive(self) -> None:
-        f = self.chance.choices(range(FUNCTIONS), self.weights)[0]
+        f = self.random_source.choices(range(FUNCTIONS), self.weights)[0]
         t = self.requests
         self.requests += 1
         self.call("request_taken", self.now, t, 0, 0, f, 3000.0, 0.0, False)
-        self.later(self.now + self.chance.expovariate(RATE / 1000.0), "arrive")
+        self.later(self.now + self.random_source.expovariate(RATE / 1000.0), "arrive")
 
     def replace(self) -> None:
         """Some processes start anew: empty, and listed as such."""
-        some = self.chance.sample(range(self.count), 1)
+        some = self.random_source.sample(range(self.count), 1)
         for e in some:
             self.started[e], self.has[e] = self.now, {}
         self.call("executors_listed", self.now, [self.endpoint(e) for e in some], False)
@@ -124,7 +124,7 @@
                 if not number:
                     self.first.append(e)
                 until = self.has[e].get(f)
-                took = WORK_MS * self.speed[e] * self.chance.uniform(0.5, 1.5)
+                took = WORK_MS * self.speed[e] * self.random_source.uniform(0.5, 1.5)
                 warmth = Warmth.FOUND
                 if until is None or until > self.now:
                     warmth = Warmth.BEGAN if until is None else Warmth.AWAITED
--- a/benchmarks/hollow_rig.py
+++ b/benchmarks/hollow_rig.py
@@ -108,8 +108,10 @@
     """A fleet in a handful of processes: members under measurement, a rack, and hollow ones."""
 
     def __init__(self, size: int, attempt: int, ports: bool) -> None:
-        chance = random.Random(os.urandom(8))
-        self.plan = FleetPlan(size, chance.randrange(64, 127), chance.randrange(20_000, 30_000), attempt)
+        random_source = random.Random(os.urandom(8))
+        self.plan = FleetPlan(
+            size, random_source.randrange(64, 127), random_source.randrange(20_000, 30_000), attempt
+        )
         self.size, self.rack_size = size, rack_of(size)
         first = FIRST_OF_RACK + self.rack_size
         bounds = [first + (size - first) * part // HOLLOW_PROCESSES for part in range(HOLLOW_PROCESSES + 1)]
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -65,8 +65,8 @@
 
 
 def main() -> None:
-    chance = random.Random(1)
-    known = sorted(chance.choice(DELAYS) for _ in range(100_000))
+    random_source = random.Random(1)
+    known = sorted(random_source.choice(DELAYS) for _ in range(100_000))
     true = {f"p{q}": known[int(q / 100 * len(known))] for q in (50, 90, 99)}
     print("known: " + ", ".join(f"{k} {v:.0f} ms" for k, v in true.items()))
     for rate, processes, stall in ((200, 1, False), (800, 2, False), (200, 1, True)):
--- a/benchmarks/node.py
+++ b/benchmarks/node.py
@@ -55,7 +55,7 @@
 
 
 async def load(node: psutil.Process, port: int, rate: int, seconds: int, seed: int) -> dict:
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     while True:
         try:
             clients = [await asyncio.open_connection("127.0.0.1", port) for _ in range(CONNECTIONS)]
@@ -76,7 +76,7 @@
     weights = [1.0 / (i + 1) for i in range(FUNCTIONS)]
     begin, at, asked, first, before_s = time.perf_counter(), 0.0, 0, 0, 0.0
     while at < WARM_UP_S + seconds:
-        at += chance.expovariate(rate)
+        at += random_source.expovariate(rate)
         if (wait := begin + at - time.perf_counter()) > 0:
             await asyncio.sleep(wait)
         if not first and at >= WARM_UP_S:
@@ -85,11 +85,11 @@
         asked += 1
         i = asked % CONNECTIONS
         due[i, asked] = begin + at
-        function = chance.choices(range(FUNCTIONS), weights)[0]
+        function = random_source.choices(range(FUNCTIONS), weights)[0]
         clients[i][1].write(
             request(
                 asked,
-                call=f"{chance.getrandbits(64):016x}",
+                call=f"{random_source.getrandbits(64):016x}",
                 row=f"{function:016x}",
                 work=WORK_MS,
                 body=bytes(200),
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -46,7 +46,7 @@
         if now > holder.cut_ms + self.mean_ms:
             super()._cut(holder, busy, now)
             if holder.cut_ms == now:
-                holder.cut_ms += self.chance.random() * self.mean_ms
+                holder.cut_ms += self.random_source.random() * self.mean_ms
 
 
 class DeepCut(FrontEnd):
@@ -71,7 +71,7 @@
             super()._cut(holder, busy, now)
 
     def _place(self, t, now):
-        if self.limit < 1.0 and not t.sent and t.luck > self.limit and self.view(now) < choice.SPARSE:
+        if self.limit < 1.0 and not t.sent and t.jitter > self.limit and self.view(now) < choice.SPARSE:
             if not self._hopeless(t, now):
                 t.function.held[t.index] = None
                 choice.heapq.heappush(self.due, (now + choice.LOOK_AGAIN_MS, t.index))
@@ -87,7 +87,7 @@
         d = super()._give_up(t)
         if d.verb is Verb.REJECT:
             longest = self.capabilities.longest_retry_ms
-            return Decision(Verb.REJECT, t.index, ms=longest * (0.5 + 0.5 * self.chance.random()))
+            return Decision(Verb.REJECT, t.index, ms=longest * (0.5 + 0.5 * self.random_source.random()))
         return d
 
 
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -147,8 +147,8 @@
     moment, under a row of changes, and started again. At the end the history has to hold all that was said to
     be adopted."""
     folder = Path(tempfile.mkdtemp(prefix="petrelway-kills-"))
-    chance = random.Random(1)
-    first = 19_000 + chance.randrange(50) * 10
+    random_source = random.Random(1)
+    first = 19_000 + random_source.randrange(50) * 10
     names = [f"front-{i}" for i in range(5)]
     token = folder / "token"
     token.write_text("t" * 32)
@@ -180,17 +180,17 @@
         while killed < count or wish is not None:
             now = time.monotonic()
             if killed < count and now >= kill_at:
-                i = chance.randrange(3)
+                i = random_source.randrange(3)
                 if running[i].poll() is None and len(back) < 1:
                     running[i].send_signal(signal.SIGKILL)
                     running[i].wait()
-                    killed, back[i] = killed + 1, now + chance.uniform(0.0, 0.3)
-                kill_at = now + chance.uniform(0.05, 1.0)
+                    killed, back[i] = killed + 1, now + random_source.uniform(0.0, 0.3)
+                kill_at = now + random_source.uniform(0.05, 1.0)
             for i, at in list(back.items()):
                 if now >= at:
                     running[i] = start(i)
                     del back[i]
-                    kill_at = max(kill_at, now + chance.uniform(0.6, 1.6))
+                    kill_at = max(kill_at, now + random_source.uniform(0.6, 1.6))
             died += [i for i in range(5) if i not in back and running[i].poll() is not None]
             if died:
                 raise SystemExit(f"{names[died[0]]} ended by itself: see {folder}")
@@ -233,7 +233,7 @@
 
     folder = Path(tempfile.mkdtemp(prefix="petrelway-row-"))
     fleet, took = Fleet(folder, 3000), []
-    chance, end = random.Random(1), Counter()
+    random_source, end = random.Random(1), Counter()
     try:
         for n in range(count):
             if n % 10 == 5:
@@ -241,7 +241,7 @@
             elif n % 10 == 9:
                 fleet.clear()
             began = time.monotonic()
-            end[fleet.change(1.0 + n / 1000, by=chance.randrange(SIZE_OF_FLEET))["state"]] += 1
+            end[fleet.change(1.0 + n / 1000, by=random_source.randrange(SIZE_OF_FLEET))["state"]] += 1
             took.append(time.monotonic() - began)
         time.sleep(5.0)
         breaches = fleet.judged()
--- a/benchmarks/worker.py
+++ b/benchmarks/worker.py
@@ -255,9 +255,9 @@
 
 
 def trace(count: int, packages: int, zipf: float, seed: int) -> list[int]:
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     popular = list(itertools.accumulate(1.0 / (i + 1) ** zipf for i in range(packages)))
-    return [bisect.bisect_left(popular, chance.random() * popular[-1]) for _ in range(count)]
+    return [bisect.bisect_left(popular, random_source.random() * popular[-1]) for _ in range(count)]
 
 
 def hits_lru(asked: list[int], room: int) -> int:
--- a/petrelway/choice.py
+++ b/petrelway/choice.py
@@ -122,11 +122,15 @@
         ration: LoadRation,
         told_rate: float,
         own: float,
-        chance: random.Random,
+        random_source: random.Random,
         start: float,
     ) -> None:
         self.cold, self.ration, self.told_rate = cold, ration, told_rate  # the rate: of all front ends, a ms
-        self.strict, self.chance, self.start = (told_rate, start), chance, start  # the least rate told lately
+        self.strict, self.random_source, self.start = (
+            (told_rate, start),
+            random_source,
+            start,
+        )  # the least rate told lately
         self.own, self.part = own, Part(own, start)  # shares of the fleet's rations: what is told has an end
         self.seen: dict[int, tuple[float, float]] = {}  # machine kind -> decayed count of succeeded, time
         self.usual: dict[int, float] = {}  # what a warm one of the kind carries of our requests, a ms
@@ -199,8 +203,8 @@
         if span > cold.span_ms:
             span /= COLD_LUCK
             if not e.cold_sends:
-                e.cold_sends.append(now - self.chance.random() * span)
-            if t.luck > COLD_LUCK * part:
+                e.cold_sends.append(now - self.random_source.random() * span)
+            if t.jitter > COLD_LUCK * part:
                 return False
         recent = sum(1 for at in e.cold_sends if at > now - span)
         return recent + 1 <= rate * span + 1e-9
@@ -244,16 +248,21 @@
     ) -> None:
         super().__init__(now)
         self.clock = ForwardClock(now, TIDY_MS)
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.request_classes, self.capabilities, self.keeping = request_classes, capabilities, keeping
         self.gate = Gate(
-            cold, ration, sum(c.rate for c in tenants) / 1000.0, 1.0 / max(1, place.peers), self.chance, now
+            cold,
+            ration,
+            sum(c.rate for c in tenants) / 1000.0,
+            1.0 / max(1, place.peers),
+            self.random_source,
+            now,
         )
         self.loads, self.loads_cut_ms = LOADS_START, -math.inf
         self.seconds = SECOND_SAVED
         self.limit, self.cut_ms = LIMIT_START, -math.inf  # for all own requests, in all but a rich view
         self.mean_ms = self.mean_size = self.quick_ms = UNHEARD_SIZE_MS
-        heapq.heappush(self.due, (now + TIDY_MS * self.chance.random(), -1))
+        heapq.heappush(self.due, (now + TIDY_MS * self.random_source.random(), -1))
 
     def executors_listed(self, now: float, endpoints: Iterable[Endpoint], complete: bool) -> None:
         now = self.clock.enter(now)
@@ -300,7 +309,7 @@
         self.asked = self.asked * math.exp((self.asked_ms - now) / ASKED_SPAN_MS) + size
         f.asked = f.asked * math.exp((f.used_ms - now) / ASKED_SPAN_MS) + size
         self.asked_ms = f.used_ms = now
-        terms, luck = self.request_classes[request_class], self.chance.random()
+        terms, jitter = self.request_classes[request_class], self.random_source.random()
         deadlines = Deadlines(
             answer_deadline_ms=now + remaining_ms - min(ANSWER_EARLY_MS, remaining_ms / 2),
             latency_objective_at_ms=now + terms.latency_objective_ms,
@@ -308,7 +317,7 @@
             - LOOK_AGAIN_MS,
         )
         t = Request(
-            request, request_class, terms, self.capabilities, tenant, f, size, now, deadlines, repeat, luck
+            request, request_class, terms, self.capabilities, tenant, f, size, now, deadlines, repeat, jitter
         )
         self.requests[request], t.work_ms = t, work_ms
         self.gate.taken.append(now)
@@ -654,7 +663,7 @@
         f = t.function
         some = [*f.skilled.values(), *f.ranked(self.fleet, self.homes(f, now))]
         step = len(some) // MANY
-        homes = dict.fromkeys(some[int(self.chance.random() * step) :: step] if step > 1 else some)
+        homes = dict.fromkeys(some[int(self.random_source.random() * step) :: step] if step > 1 else some)
         skilled = [e for e in homes if self._fit(t, e, now)]
         mean = self.out / max(1, len(self.ready)) * self.mean_ms
         limit = VARIANCE * max(mean, self.mean_ms)
@@ -667,7 +676,7 @@
             or self.backlog(e, now) + sparse * self.pace(e, now) * self.mean_size <= limit
         ]
         if kept:
-            return min(kept, key=lambda e: (self._expected(e, t, now), self.chance.random()))
+            return min(kept, key=lambda e: (self._expected(e, t, now), self.random_source.random()))
         # danger: in an overload every function would overflow at once, and the loads make all slower
         n = len(self.ready)
         closed = self.fleet.crowded > CLOSED_SHARE * n
@@ -679,7 +688,9 @@
                 calm = self.backlog(e, now) <= (mean if f.skilled else limit)
                 if e not in homes and calm and self._fit(t, e, now):
                     return e
-        return min(skilled, key=lambda e: (self._expected(e, t, now), self.chance.random()), default=None)
+        return min(
+            skilled, key=lambda e: (self._expected(e, t, now), self.random_source.random()), default=None
+        )
 
     def _expected(self, e: Executor, t: Request, now: float) -> float:
         """The weighted backlog with this request, and the load that it would wait for."""
--- a/petrelway/choice_state.py
+++ b/petrelway/choice_state.py
@@ -75,7 +75,7 @@
         taken_ms: float,
         deadlines: Deadlines,
         repeat: bool,
-        luck: float,
+        jitter: float,
     ) -> None:
         self.index = index
         self.kind = kind  # the request class's index
@@ -90,7 +90,7 @@
         self.latency_objective_at_ms = deadlines.latency_objective_at_ms
         self.patient_until = deadlines.patient_until
         self.repeat = repeat
-        self.luck = luck  # its draw where a budget is a fraction of one request
+        self.jitter = jitter  # its draw where a budget is a fraction of one request
         self.out: dict[int, Attempt] = {}
         self.sent = 0
         self.ran: list[Run] = []  # ended attempts that may have run
--- a/petrelway/commands/emulations.py
+++ b/petrelway/commands/emulations.py
@@ -215,8 +215,8 @@
     for kind in some:
         if kind not in all_kinds():
             raise click.UsageError(f"--kinds: found {kind!r}; allowed: {', '.join(all_kinds())}")
-    chance = random.Random(seed)
-    trees = [drawn(base, chance, some) for _ in range(tries)]
+    random_source = random.Random(seed)
+    trees = [drawn(base, random_source, some) for _ in range(tries)]
     context = multiprocessing.get_context("forkserver")
     context.set_forkserver_preload(["petrelway.emulator.runs"])
     finds = []
--- a/petrelway/daemon/service.py
+++ b/petrelway/daemon/service.py
@@ -65,14 +65,14 @@
             self.spent,
             self.log,
         )
-        chance = random.Random(f"{found['front_end'].seed}/guard")
+        random_source = random.Random(f"{found['front_end'].seed}/guard")
         self.shedder = Shedder(
             [c.portion for c in found["customers"]],
             guard.lag_ms,
             guard.open,
             int(guard.buffered_mb * 2**20),
             guard.connections,
-            chance,
+            random_source,
         )
         super().startService()
         self.host.watch = self.telemetry
--- a/petrelway/daemon/shedding.py
+++ b/petrelway/daemon/shedding.py
@@ -55,12 +55,12 @@
         open_bound: int,
         buffered_bound: int,
         connections_bound: int,
-        chance: random.Random,
+        random_source: random.Random,
     ) -> None:
         self.portions = portions if sum(portions) > 0.0 else [1.0] * len(portions)
         self.lag_ms, self.open_bound = lag_ms, open_bound
         self.buffered_bound, self.connections_bound = buffered_bound, connections_bound
-        self.chance = chance
+        self.random_source = random_source
         self.pressures = Pressures(0.0, 0.0, 0.0, 0.0)
         self.step = Step.ALL_WELL
         # decayed counts of what came, each with its time: of each tenant, and of all at the end
@@ -134,4 +134,4 @@
     def _reject(self, why: str) -> float:
         self.rejected[why] += 1
         worst = max(self.pressures)
-        return min(RETRY_MOST_MS, RETRY_MS * worst * worst * (0.75 + 0.5 * self.chance.random()))
+        return min(RETRY_MOST_MS, RETRY_MS * worst * worst * (0.75 + 0.5 * self.random_source.random()))
--- a/petrelway/emulator/clients.py
+++ b/petrelway/emulator/clients.py
@@ -143,9 +143,9 @@
         record,
     ) -> None:
         self.sim, self.network, self.day, self.fronts, self.record = sim, network, day, fronts, record
-        self.chance = random.Random(f"{day['day'].seed}/clients {number}")
-        self.traffic = Traffic(day, self.chance, day["traffic"].clients)
-        self.manners = Manners(day, day["fleet"].fronts, self.chance)
+        self.random_source = random.Random(f"{day['day'].seed}/clients {number}")
+        self.traffic = Traffic(day, self.random_source, day["traffic"].clients)
+        self.manners = Manners(day, day["fleet"].fronts, self.random_source)
         self.request_classes = [t.name for t in day["tariffs"]]
         self.tenants = [c.name for c in day["customers"]]
         self.source, self.serial, self.epoch_ms = f"/gateway/{number}", 0, epoch_ms
--- a/petrelway/emulator/compare.py
+++ b/petrelway/emulator/compare.py
@@ -28,7 +28,7 @@
     differs: bool
 
 
-def band(values: Sequence[float], chance: random.Random, share: float = 0.95) -> tuple[float, float]:
+def band(values: Sequence[float], random_source: random.Random, share: float = 0.95) -> tuple[float, float]:
     """A bootstrap band of the mean.
 
     >>> low, high = band([1.0, 2.0, 3.0, 4.0], random.Random(1))
@@ -38,7 +38,7 @@
     if len(values) < 2:
         only = float(values[0]) if values else 0.0
         return only, only
-    draw = np.random.default_rng(chance.getrandbits(32))
+    draw = np.random.default_rng(random_source.getrandbits(32))
     array = np.asarray(values, dtype=float)
     means = array[draw.integers(0, len(array), (DRAWS, len(array)))].mean(axis=1)
     low, high = np.quantile(means, [(1 - share) / 2, (1 + share) / 2])
@@ -60,7 +60,11 @@
 
 
 def paired(
-    a: list[dict[str, Any]], b: list[dict[str, Any]], by: Sequence[str], figure: str, chance: random.Random
+    a: list[dict[str, Any]],
+    b: list[dict[str, Any]],
+    by: Sequence[str],
+    figure: str,
+    random_source: random.Random,
 ) -> list[Difference]:
     """By point, in order; Holm's correction over the points. Runs without a partner are left out."""
     found = []
@@ -72,7 +76,7 @@
         left = [table_a[point][s] for s in seeds]
         right = [table_b[point][s] for s in seeds]
         moved = [y - x for x, y in zip(left, right)]
-        low, high = band(moved, chance)
+        low, high = band(moved, random_source)
         mean = float(np.mean(moved))
         p = by_noise(moved)
         found.append(
--- a/petrelway/emulator/council.py
+++ b/petrelway/emulator/council.py
@@ -36,8 +36,11 @@
 
     def __init__(self, council: Council, number: int, process: Process, token: int) -> None:
         self.council, self.number, self.process, self.name = council, number, process, f"front-{number}"
-        chance = random.Random(f"{council.seed}/{token}/clock")
-        self.ahead_ms, self.rate = chance.uniform(0.0, CLOCKS_MS), 1.0 + chance.uniform(-RATE, RATE)
+        random_source = random.Random(f"{council.seed}/{token}/clock")
+        self.ahead_ms, self.rate = (
+            random_source.uniform(0.0, CLOCKS_MS),
+            1.0 + random_source.uniform(-RATE, RATE),
+        )
         kept = council.disks.setdefault(number, Kept()) if number < council.keepers else None
         names = tuple(f"front-{i}" for i in range(council.keepers))
         own = Terms(0, digest(OWN), OWN)
@@ -83,7 +86,9 @@
     def _request(self) -> None:
         """A client's request, now and then."""
         self.take()
-        self.process.callLater(self.council.chance.expovariate(1.0 / self.council.every_s), self._request)
+        self.process.callLater(
+            self.council.random_source.expovariate(1.0 / self.council.every_s), self._request
+        )
 
     def take(self) -> None:
         terms, _ = self.party.terms(self.now())
@@ -113,7 +118,7 @@
         self.full: set[int] = set()  # disks that take nothing more
         self.lines: list[dict[str, Any]] = []
         self.counts: Counter[str] = Counter()
-        self.chance, self.tokens = random.Random(f"{seed}/council"), random.Random(f"{seed}/tokens")
+        self.random_source, self.tokens = random.Random(f"{seed}/council"), random.Random(f"{seed}/tokens")
         self.dying: dict[int, int] = {}  # number -> so many syncs more, and it dies
 
     def now(self) -> float:
@@ -143,7 +148,7 @@
         if self.dying[number] > 0:
             return ""
         del self.dying[number]
-        when = "before" if self.chance.random() < 0.5 else "after"
+        when = "before" if self.random_source.random() < 0.5 else "after"
         self.note("killed at a sync", fe=f"front-{number}", when=when)
         self.kill(number)
         return when
--- a/petrelway/emulator/experiment.py
+++ b/petrelway/emulator/experiment.py
@@ -115,9 +115,11 @@
 
     def _settings(self) -> Iterator[tuple[tuple[tuple[str, str], ...], dict[str, Any]]]:
         if self.sample:
-            chance = random.Random(self.fingerprint)
+            random_source = random.Random(self.fingerprint)
             for _ in range(self.sample):
-                yield self._joined([self._drawn(name, axis, chance) for name, axis in self.axes.items()])
+                yield self._joined(
+                    [self._drawn(name, axis, random_source) for name, axis in self.axes.items()]
+                )
             return
         for some in itertools.product(*(self._choices(name, axis) for name, axis in self.axes.items())):
             yield self._joined(list(some))
@@ -128,13 +130,13 @@
             return [(name, label, changes) for label, changes in axis.sets.items()]
         return [(name, _label(value), {axis.path: value}) for value in axis.values]
 
-    def _drawn(self, name: str, axis: Axis, chance: random.Random) -> tuple[str, str, dict[str, Any]]:
+    def _drawn(self, name: str, axis: Axis, random_source: random.Random) -> tuple[str, str, dict[str, Any]]:
         if axis.high <= axis.low:
-            return chance.choice(self._choices(name, axis))
+            return random_source.choice(self._choices(name, axis))
         if axis.log:
-            value = math.exp(chance.uniform(math.log(axis.low), math.log(axis.high)))
+            value = math.exp(random_source.uniform(math.log(axis.low), math.log(axis.high)))
         else:
-            value = chance.uniform(axis.low, axis.high)
+            value = random_source.uniform(axis.low, axis.high)
         value = float(f"{value:.4g}")
         return name, _label(value), {axis.path: value}
 
--- a/petrelway/emulator/fronts.py
+++ b/petrelway/emulator/fronts.py
@@ -38,7 +38,7 @@
     def __init__(self, place: Place, book: Book, front: Front) -> None:
         self.place, self.book, self.front = place, book, front
         self.serial: int | None = None
-        self.backoff = Backoff(front.chance, RETRY_LEAST_MS, RETRY_MOST_MS)
+        self.backoff = Backoff(front.random_source, RETRY_LEAST_MS, RETRY_MOST_MS)
         self.cable = Cable(place.sim, place.network, CENTRE, place.zone)
         self.follow()
 
@@ -104,7 +104,7 @@
     ) -> None:
         told = found["front_end"]
         self.place, self.name, self.roster_up = place, told.name, roster_up
-        self.chance = random.Random(f"{told.seed}/{told.name}/links")
+        self.random_source = random.Random(f"{told.seed}/{told.name}/links")
         fleet = found["fleet"]
         self.host = Host(
             place.process,
@@ -117,7 +117,7 @@
             fleet.machines,
             found["keeping"].load_request_timeout_ms,
             place,
-            self.chance,
+            self.random_source,
             log,
             link=EmulatedLink,
         )
--- a/petrelway/emulator/hunt.py
+++ b/petrelway/emulator/hunt.py
@@ -47,26 +47,26 @@
         return (len(self.rules), -self.service) > (len(than.rules), -than.service)
 
 
-def drawn(base: dict[str, Any], chance: random.Random, kinds: list[str]) -> dict[str, Any]:
+def drawn(base: dict[str, Any], random_source: random.Random, kinds: list[str]) -> dict[str, Any]:
     """The base day with another seed and up to five troubles of the kinds, any overlap."""
     tree = copy.deepcopy(base)
     length = tree["day"]["length_s"]
-    tree["day"]["seed"] = chance.randrange(1, 1 << 20)
+    tree["day"]["seed"] = random_source.randrange(1, 1 << 20)
     tree["troubles"] = []
-    for _ in range(chance.randint(1, MOST_TROUBLES)):
-        kind = chance.choice(kinds)
+    for _ in range(random_source.randint(1, MOST_TROUBLES)):
+        kind = random_source.choice(kinds)
         low, high, extra = SIZES.get(kind, (1.0, 1.0, 0.0))
         trouble = {
             "kind": kind,
-            "at_s": round(length * chance.uniform(0.1, 0.7), 2),
-            "len_s": round(length * chance.uniform(0.05, 0.4), 2),
-            "part": round(chance.uniform(0.05, 0.7), 2),
-            "size": round(chance.uniform(low, high), 3),
-            "which": chance.randrange(4),
+            "at_s": round(length * random_source.uniform(0.1, 0.7), 2),
+            "len_s": round(length * random_source.uniform(0.05, 0.4), 2),
+            "part": round(random_source.uniform(0.05, 0.7), 2),
+            "size": round(random_source.uniform(low, high), 3),
+            "which": random_source.randrange(4),
         }
         if extra:
             trouble["extra"] = extra
-        if kind == "zone_loss" and chance.random() < 0.5:
+        if kind == "zone_loss" and random_source.random() < 0.5:
             trouble["how"] = "silent"
         tree["troubles"].append(trouble)
     return tree
--- a/petrelway/emulator/links.py
+++ b/petrelway/emulator/links.py
@@ -126,9 +126,9 @@
         if self.broken or life.half_open:
             return False
         # garbage and frames cut in half have one end at a front end: the connection breaks
-        if life.garbage and life.chance.random() < life.garbage:
+        if life.garbage and life.random_source.random() < life.garbage:
             self.abort()
-        elif life.reset and life.chance.random() < life.reset:
+        elif life.reset and life.random_source.random() < life.reset:
             self.abort()
         return not self.broken
 
@@ -154,7 +154,7 @@
         "front_end",
         "process",
         "place",
-        "chance",
+        "random_source",
         "listener",
         "backoff",
         "next_ms",
@@ -175,12 +175,12 @@
         process: str,
         clock,
         connect,
-        chance: random.Random,
+        random_source: random.Random,
         listener: LinkListener,
         log,
     ) -> None:
         self.executor, self.port, self.front_end, self.process = executor, port, front_end, process
-        self.place, self.chance, self.listener = connect, chance, listener
+        self.place, self.random_source, self.listener = connect, random_source, listener
         self.backoff: Backoff | None = None
         self.next_ms = 0.0  # no connect before
         self.wire: Wire | None = None
@@ -302,7 +302,7 @@
 
     def _wait(self) -> None:
         if self.backoff is None:
-            self.backoff = Backoff(self.chance, RETRY_LEAST_MS, RETRY_MOST_MS)
+            self.backoff = Backoff(self.random_source, RETRY_LEAST_MS, RETRY_MOST_MS)
         self.next_ms = self.place.sim.now_s * 1e3 + self.backoff.failed()
 
     def hang_up(self) -> None:
--- a/petrelway/emulator/network.py
+++ b/petrelway/emulator/network.py
@@ -29,10 +29,10 @@
         jitter: float,
         loss: float,
         again_ms: float,
-        chance: random.Random,
+        random_source: random.Random,
     ) -> None:
         self.within_ms, self.between_ms = within_ms, between_ms
-        self.jitter, self.loss, self.again_ms, self.chance = jitter, loss, again_ms, chance
+        self.jitter, self.loss, self.again_ms, self.random_source = jitter, loss, again_ms, random_source
         self.usual_loss, self.farther_ms = loss, 0.0
         self.cuts: dict[int, int] = {}  # zone -> cuts that overlap there
 
@@ -72,9 +72,9 @@
         else:
             way = self.between_ms + self.farther_ms
         if self.jitter:
-            way *= 1.0 + self.jitter * (self.chance.random() - 0.5)
+            way *= 1.0 + self.jitter * (self.random_source.random() - 0.5)
         if self.loss and one >= 0 <= other:
-            while self.chance.random() < self.loss:
+            while self.random_source.random() < self.loss:
                 way += self.again_ms
                 if way > 20 * self.again_ms:
                     break
--- a/petrelway/emulator/storm.py
+++ b/petrelway/emulator/storm.py
@@ -37,11 +37,11 @@
     turned_away: float  # share of the requests
 
 
-def document(number: int, chance: random.Random) -> str:
+def document(number: int, random_source: random.Random) -> str:
     found = {"n": number}
-    if chance.random() < 0.15:
+    if random_source.random() < 0.15:
         found["unfit"] = 1
-    if chance.random() < 0.35:
+    if random_source.random() < 0.35:
         found["adoption"] = {"silent": "stop"}
     return json.dumps(found)
 
@@ -59,7 +59,7 @@
         hard: float = 1.0,
     ) -> None:
         """`hard`: how often troubles begin, against twice in three seconds."""
-        self.chance = random.Random(f"{seed}/storm")
+        self.random_source = random.Random(f"{seed}/storm")
         self.council = Council(World(), FaultSchedule(fault_random_source(seed)), size, keepers, seed,
                                every_s=every_s)  # fmt: skip
         self.seed, self.length_s, self.hard = seed, length_s, hard
@@ -69,12 +69,12 @@
         self.made = 0
 
     def play(self) -> Played:
-        council, chance = self.council, self.chance
+        council, random_source = self.council, self.random_source
         for number in range(council.size):
-            if number < council.keepers or chance.random() < 0.9:
+            if number < council.keepers or random_source.random() < 0.9:
                 council.start(number)
             else:
-                self.later.append((council.sim.now_s + chance.uniform(0, 20), "start", number))
+                self.later.append((council.sim.now_s + random_source.uniform(0, 20), "start", number))
         council.sim.run(council.sim.now_s + 3.0)
         end = council.sim.now_s + self.length_s
         while council.sim.now_s < end:
@@ -99,24 +99,28 @@
         return self.council.ones[leader].party.keeper.ledger.version if leader is not None else 0
 
     def _step(self, troubled: bool) -> None:
-        council, chance, now = self.council, self.chance, self.council.sim.now_s
+        council, random_source, now = self.council, self.random_source, self.council.sim.now_s
         for each in [x for x in self.later if x[0] <= now]:
             self.later.remove(each)
             self._happen(*each[1:])
-        if troubled and chance.random() < self.hard * STEP_S / 1.5:
+        if troubled and random_source.random() < self.hard * STEP_S / 1.5:
             self._trouble(now)
-        if len(self.wishes) < 2 and chance.random() < STEP_S / 4.0:
+        if len(self.wishes) < 2 and random_source.random() < STEP_S / 4.0:
             self.made += 1
-            base = self._holds() if chance.random() < 0.9 else max(0, self._holds() - 1)
+            base = self._holds() if random_source.random() < 0.9 else max(0, self._holds() - 1)
             alive = sorted(council.ones)
             if alive:
-                self.wishes[f"p{self.made}"] = base, document(self.made, chance), chance.choice(alive)
+                self.wishes[f"p{self.made}"] = (
+                    base,
+                    document(self.made, random_source),
+                    random_source.choice(alive),
+                )
         for id, (base, text, by) in list(self.wishes.items()):
             progress = council.wish(by, id, base, text)
             if progress is None:  # it was killed with the operator's word: by way of another one
                 alive = sorted(council.ones)
                 if alive:
-                    self.wishes[id] = base, text, chance.choice(alive)
+                    self.wishes[id] = base, text, random_source.choice(alive)
             elif progress.state != "under way":
                 council.note("change", id=id, base=base, state=progress.state, version=progress.version)
                 self.ended[progress.state] += 1
@@ -131,21 +135,21 @@
             council.ones[number].process.thaw()
 
     def _trouble(self, now: float) -> None:
-        council, chance = self.council, self.chance
-        kind = chance.choice(KILLS)
+        council, random_source = self.council, self.random_source
+        kind = random_source.choice(KILLS)
         keeps = "keeper" in kind or kind == "die at a sync"
-        number = chance.randrange(council.keepers if keeps else council.size)
-        back = now + chance.choice((0.3, 1.0, 3.0, 8.0, 20.0))
+        number = random_source.randrange(council.keepers if keeps else council.size)
+        back = now + random_source.choice((0.3, 1.0, 3.0, 8.0, 20.0))
         if kind in ("kill", "kill keeper"):
             council.kill(number)
             self.later.append((back, "start", number))
         elif kind == "die at a sync":
-            council.dying[number] = chance.randrange(1, 4)
+            council.dying[number] = random_source.randrange(1, 4)
             self.later.append((back + 2.0, "start", number))
-        elif kind == "all keepers" and chance.random() < 0.3:
+        elif kind == "all keepers" and random_source.random() < 0.3:
             for each in range(council.keepers):
                 council.kill(each)
-                self.later.append((back + chance.random(), "start", each))
+                self.later.append((back + random_source.random(), "start", each))
         elif kind in ("stop", "stop keeper") and number in council.ones:
             council.ones[number].process.freeze()
             self.later.append((back, "go on", number))
@@ -153,17 +157,21 @@
             self._network_fault(now, back)
 
     def _network_fault(self, now: float, back: float) -> None:
-        council, chance = self.council, self.chance
-        kind, every = chance.choice(KINDS), frozenset(range(council.size))
-        some = frozenset(chance.sample(sorted(every), chance.randrange(1, council.size)))
+        council, random_source = self.council, self.random_source
+        kind, every = random_source.choice(KINDS), frozenset(range(council.size))
+        some = frozenset(random_source.sample(sorted(every), random_source.randrange(1, council.size)))
         size, extra = 1.0, 0.0
         if kind in ("loss", "double", "reorder"):
-            some, size, extra = every, chance.uniform(0.05, 0.4), chance.choice((50.0, 500.0, 5000.0))
+            some, size, extra = (
+                every,
+                random_source.uniform(0.05, 0.4),
+                random_source.choice((50.0, 500.0, 5000.0)),
+            )
         elif kind == "delay":
-            size = chance.choice((20.0, 200.0, 1000.0, 4000.0))
+            size = random_source.choice((20.0, 200.0, 1000.0, 4000.0))
             extra = size / 2
         elif kind == "flap":
-            extra = chance.choice((200.0, 1000.0, 3000.0))
+            extra = random_source.choice((200.0, 1000.0, 3000.0))
         council.faults.over(now * 1e3)
         council.faults.add(
             NetworkFault(kind, some, every - some or every, now * 1e3, back * 1e3, size, extra)
--- a/petrelway/fleet/members.py
+++ b/petrelway/fleet/members.py
@@ -97,10 +97,10 @@
     """One member's view of all."""
 
     def __init__(
-        self, now: float, me: int, token: int, fleet: int, peers: list[int], chance: random.Random
+        self, now: float, me: int, token: int, fleet: int, peers: list[int], random_source: random.Random
     ) -> None:
         """`peers` are the others' ids. `token` names this process among all that ever had its name."""
-        self.me, self.start, self.fleet, self.chance = me, Start(1, token), fleet, chance
+        self.me, self.start, self.fleet, self.random_source = me, Start(1, token), fleet, random_source
         self.others = {id: Member(id, now) for id in sorted(peers)}
         self.ids = list(self.others)
         # danger: looked through ten times a second, a thousand members would cost more than their words
@@ -122,7 +122,7 @@
         self.version = 0  # of the terms that this one runs under, as the host tells it
         self.yielded = False  # another process has this name, and keeps it
         self.overs: dict[int, int] = {}  # token of another process under this name -> incarnation outdone
-        self.number = chance.randrange(1 << 31)
+        self.number = random_source.randrange(1 << 31)
         self.probes: dict[int, Probe] = {}  # by the ask's number
         # asks for others, by our number: who asked, its number, whom, until when
         self.asked_for: dict[int, tuple[int, int, int, float]] = {}
@@ -237,7 +237,7 @@
     def leave(self) -> list[Decision]:
         """The words of one that has stopped using anything: to a few, who pass it on."""
         alive = list(self.by[State.ALIVE].values())
-        some = self.chance.sample(alive, min(len(alive), 3 * HELPERS))
+        some = self.random_source.sample(alive, min(len(alive), 3 * HELPERS))
         for m in some:
             self._tell(Kind.LEAVING, m, 0)
         done, self.out = list(self.out), deque()
@@ -273,7 +273,7 @@
                 probe.helped = True
                 self._tell(Kind.ASK, m, number)
                 alive = [x for x in self.by[State.ALIVE].values() if x is not m]
-                for helper in self.chance.sample(alive, min(HELPERS, len(alive))):
+                for helper in self.random_source.sample(alive, min(HELPERS, len(alive))):
                     self._tell(Kind.ASK_FOR_ME, helper, number, m.id)
         for number in [n for n, asked in self.asked_for.items() if now > asked[3]]:
             del self.asked_for[number]
@@ -305,12 +305,12 @@
                 break
         if not self.turn:
             self.turn = [*self.by[State.ALIVE], *self.by[State.SUSPECTED]]
-            self.chance.shuffle(self.turn)
+            self.random_source.shuffle(self.turn)
         unheard = list(self.by[State.UNHEARD].values())
         lost = [*self.by[State.FAILED].values(), *self.by[State.SUSPECTED].values()]
         found_again = now < self.healed_ms + HEALED_MS
         for some, most in ((unheard, KNOCKS), (lost, KNOCKS if found_again else 1)):
-            for m in self.chance.sample(some, min(most, len(some))):
+            for m in self.random_source.sample(some, min(most, len(some))):
                 self._tell(Kind.ASK, m, 0)
         unasked = [m for m in self.by[State.SUSPECTED].values() if m.asked_ms == math.inf]
         for m in unasked[:KNOCKS]:  # nobody is failed whom this one has not asked itself
--- a/petrelway/fleet/service.py
+++ b/petrelway/fleet/service.py
@@ -106,7 +106,7 @@
         fleet: str,
         peers: list[Listed],
         token: int,
-        chance: random.Random,
+        random_source: random.Random,
         log,
         told: Callable[[Part], None] | None,
         note: Callable[..., Any] | None = None,
@@ -115,7 +115,7 @@
         `told` hears the part after each turn; None where no port may be listened on or tried: then nobody
         is proved dead, and every part is the own share. `note` writes a rehearsal's record."""
         self.reactor, self.me, self.fleet = reactor, me, fleet
-        self.token, self.chance = token, chance
+        self.token, self.random_source = token, random_source
         self.log, self.told, self.note = log, told, note
         self.peers = {digest(p.name): p for p in peers if p.name != me.name}
         self.at = {(p.address, p.port): id for id, p in self.peers.items()}
@@ -143,7 +143,7 @@
             raise
         now = self.now()
         me, fleet = digest(self.me.name), digest(self.fleet)
-        self.members = Members(now, me, self.token, fleet, list(self.peers), self.chance)
+        self.members = Members(now, me, self.token, fleet, list(self.peers), self.random_source)
         self.parts = Parts(now, len(self.peers) + 1)
         super().startService()
         self._turn()
--- a/petrelway/front/backoff.py
+++ b/petrelway/front/backoff.py
@@ -13,14 +13,14 @@
     True
     """
 
-    def __init__(self, chance: random.Random, least_ms: float, most_ms: float) -> None:
-        self.chance, self.least_ms, self.most_ms = chance, least_ms, most_ms
+    def __init__(self, random_source: random.Random, least_ms: float, most_ms: float) -> None:
+        self.random_source, self.least_ms, self.most_ms = random_source, least_ms, most_ms
         self.next_ms = least_ms
 
     def failed(self) -> float:
         """How long to wait now, in ms: between half and all of the present delay."""
         delay_ms, self.next_ms = self.next_ms, min(self.most_ms, 2.0 * self.next_ms)
-        return delay_ms * (0.5 + 0.5 * self.chance.random())
+        return delay_ms * (0.5 + 0.5 * self.random_source.random())
 
     def succeeded(self) -> None:
         self.next_ms = self.least_ms
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -143,7 +143,7 @@
         machines: list[str],
         load_request_timeout_ms: float,
         connect: Callable,
-        chance: random.Random,
+        random_source: random.Random,
         log,
         meter: Callable[[], float] | None = None,
         link: Callable[..., Link] = Link,
@@ -155,10 +155,10 @@
         self.link = link
         self.clock, self.front_end, self.name, self.process = clock, front_end, name, process
         self.request_classes, self.tenants = request_classes, tenants
-        self.load_request_timeout_ms, self.connect, self.chance, self.log = (
+        self.load_request_timeout_ms, self.connect, self.random_source, self.log = (
             load_request_timeout_ms,
             connect,
-            chance,
+            random_source,
             log,
         )
         self.meter, self.deciding_s = meter, 0.0
@@ -277,7 +277,7 @@
                     self.process,
                     self.clock,
                     self.connect,
-                    self.chance,
+                    self.random_source,
                     self,
                     self.log,
                 )
--- a/petrelway/front/links.py
+++ b/petrelway/front/links.py
@@ -81,14 +81,14 @@
         process: str,
         clock: interfaces.IReactorTime,
         connect: Callable,
-        chance: random.Random,
+        random_source: random.Random,
         listener: LinkListener,
         log,
     ) -> None:
         self.executor, self.stable, self.address, self.port = executor, stable, address, port
         self.front_end, self.process = front_end, process
         self.clock, self.connect, self.listener, self.log = clock, connect, listener, log
-        self.backoff = Backoff(chance, RETRY_LEAST_MS, RETRY_MOST_MS)
+        self.backoff = Backoff(random_source, RETRY_LEAST_MS, RETRY_MOST_MS)
         self.ledger = Ledger(WAITING_BOUND)
         self.frames: dict[Key, Callable[[float], bytes]] = {}  # of the waiting ones, by the time left in ms
         self.load_requests: dict[int, Question] = {}  # orders to load and probes handed over, by id
--- a/petrelway/front/roster.py
+++ b/petrelway/front/roster.py
@@ -47,13 +47,13 @@
         port: int,
         clock: interfaces.IReactorTime,
         connect: Callable,
-        chance: random.Random,
+        random_source: random.Random,
         heard: Callable[[list[registry_codec.EndpointEntry], bool], None],
         log,
     ) -> None:
         self.front_end, self.process, self.address, self.port = front_end, process, address, port
         self.clock, self.connect, self.heard, self.log = clock, connect, heard, log
-        self.backoff = Backoff(chance, RETRY_LEAST_MS, RETRY_MOST_MS)
+        self.backoff = Backoff(random_source, RETRY_LEAST_MS, RETRY_MOST_MS)
         self.serial: int | None = None  # of the last list; None: a full one is due
         self.wire: RosterProtocol | None = None
         self.reason, self.said_down, self.closed = "", False, False
--- a/petrelway/front/service.py
+++ b/petrelway/front/service.py
@@ -93,7 +93,7 @@
         """Raises twisted.internet.error.CannotListenError if the port is taken."""
         found, place, fleet = self.found, self.found["front_end"], self.found["fleet"]
         process = self.process
-        chance = random.Random(f"{place.seed}/{place.name}/links")
+        random_source = random.Random(f"{place.seed}/{place.name}/links")
         now = self.reactor.seconds() * 1e3
         self.made = terms.make(found)
         self.host = Host(
@@ -107,7 +107,7 @@
             fleet.machines,
             found["keeping"].load_request_timeout_ms,
             connector(self.reactor),
-            chance,
+            random_source,
             self.log,
             self.meter,
             unix_ahead_s=self.unix_ahead_s,
@@ -127,7 +127,7 @@
             roster.port,
             self.reactor,
             connector(self.reactor),
-            chance,
+            random_source,
             self.host.executors_listed,
             self.log,
         )
--- a/petrelway/load/arrivals.py
+++ b/petrelway/load/arrivals.py
@@ -71,7 +71,7 @@
     functions: Sequence[tuple[str, float]],
     size_mean_ms: float,
     size_cv: float,
-    chance: random.Random,
+    random_source: random.Random,
 ) -> Iterator[Due]:
     """Poisson arrivals, or evenly spaced ones; functions with their weights; sizes log-normal.
 
@@ -82,7 +82,7 @@
     weights = list(itertools.accumulate(weight for _, weight in functions))
     names = [name for name, _ in functions]
     sigma = math.sqrt(math.log(1.0 + size_cv * size_cv))
-    at, left = 0.0, 0.0 if even else chance.expovariate(1.0)
+    at, left = 0.0, 0.0 if even else random_source.expovariate(1.0)
     while True:
         # as much of the rate's integral as is left, piece by piece
         while True:
@@ -96,10 +96,12 @@
             at = change
         if at >= length_ms:
             return
-        name = names[bisect.bisect_left(weights, chance.random() * weights[-1])]
-        size = size_mean_ms * math.exp(chance.gauss(-sigma * sigma / 2, sigma)) if sigma else size_mean_ms
+        name = names[bisect.bisect_left(weights, random_source.random() * weights[-1])]
+        size = (
+            size_mean_ms * math.exp(random_source.gauss(-sigma * sigma / 2, sigma)) if sigma else size_mean_ms
+        )
         yield Due(at, name, size)
-        left = 1.0 if even else chance.expovariate(1.0)
+        left = 1.0 if even else random_source.expovariate(1.0)
 
 
 def from_trace(path: Path) -> Iterator[Due]:
--- a/petrelway/node/follower.py
+++ b/petrelway/node/follower.py
@@ -51,13 +51,13 @@
         machines: list[str],
         clock: interfaces.IReactorTime,
         connect: Callable,
-        chance: random.Random,
+        random_source: random.Random,
         heard: Callable[[list[EndpointEntry], bool], None],
         log,
     ) -> None:
         self.address, self.port, self.zones, self.machines = address, port, zones, machines
         self.clock, self.connect, self.heard, self.log = clock, connect, heard, log
-        self.backoff = Backoff(chance, RETRY_LEAST_MS, RETRY_MOST_MS)
+        self.backoff = Backoff(random_source, RETRY_LEAST_MS, RETRY_MOST_MS)
         self.number = 0  # of the last whole event
         self.gap_at = -1  # the number after which a gap was seen
         self.whole = False  # a whole list was read
--- a/petrelway/node/links.py
+++ b/petrelway/node/links.py
@@ -196,7 +196,7 @@
         process: str,
         clock: interfaces.IReactorTime,
         connect: Callable,
-        chance: random.Random,
+        random_source: random.Random,
         listener: LinkListener,
         log,
         room: Room,
@@ -207,13 +207,13 @@
     ) -> None:
         """`withdraws`: whether the deployment lets a attempt be given up."""
         self.executor, self.stable, self.address, self.port = executor, stable, address, port
-        self.clock, self.connect, self.chance = clock, connect, chance
+        self.clock, self.connect, self.random_source = clock, connect, random_source
         self.listener, self.log = listener, log
         self.room, self.streams, self.connect_ms, self.cancels = room, streams, connect_ms, cancels
         self.idle_ms = IDLE_SHARE * idle_ms or math.inf
-        self.backoff = Backoff(chance, RETRY_LEAST_MS, RETRY_MOST_MS)
+        self.backoff = Backoff(random_source, RETRY_LEAST_MS, RETRY_MOST_MS)
         self.not_before_ms = 0.0  # no dial before this
-        self.spare_backoff = Backoff(chance, SPARE_LEAST_MS, SPARE_MOST_MS)
+        self.spare_backoff = Backoff(random_source, SPARE_LEAST_MS, SPARE_MOST_MS)
         self.spare_not_before_ms = 0.0  # none ahead of need before this
         self.said_reasons = set[EndReason]()
         self.wires: list[Wire] = []
@@ -308,9 +308,9 @@
         wire = self._ready()
         if wire is None:
             return Outcome.UNSENT if any(w.up for w in self.wires) else Outcome.UNREACHABLE
-        own = self.chance.randbytes(8)
+        own = self.random_source.randbytes(8)
         while any(w.knows(own) for w in self.wires):
-            own = self.chance.randbytes(8)
+            own = self.random_source.randbytes(8)
         wire.asked[own] = id, question
         wire.transport.write(frame(own))
         return None
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -92,7 +92,7 @@
     def startService(self) -> None:
         """Raises twisted.internet.error.CannotListenError, or ProtocolError if `known` can't be read."""
         told, terms = self.told, self.told.terms
-        chance = random.Random(f"{told.seed}/{told.name}/node")
+        random_source = random.Random(f"{told.seed}/{told.name}/node")
         sockets = descriptors(told.sockets)
         # danger: under few descriptors the share is less than the third that clients may hold
         clients = max(int(CLIENTS_SHARE * (sockets - OWN_DESCRIPTORS)), sockets // 3 + 1)
@@ -108,13 +108,13 @@
             terms.machines,
             terms.keeping.load_request_timeout_ms,
             self.connect,
-            chance,
+            random_source,
             self.log,
             link=self._link,
             unix_ahead_s=self.unix_ahead_s,
         )
         portions = [c.portion for c in terms.tenants]
-        self.shedder = Shedder(portions, LAG_BOUND_MS, OPEN_BOUND, BUFFERED_BOUND, sockets, chance)
+        self.shedder = Shedder(portions, LAG_BOUND_MS, OPEN_BOUND, BUFFERED_BOUND, sockets, random_source)
         request_classes = [
             (name, t.deadline_ms, t.idempotency is Idempotency.KEYED)
             for name, t in zip(terms.request_class_names, terms.request_classes)
@@ -130,7 +130,14 @@
             min(LEAVING_RETRY_MS, terms.capabilities.longest_retry_ms),
         )
         self.follower = Follower(
-            *told.bus, terms.zones, terms.machines, self.reactor, self.connect, chance, self.listed, self.log
+            *told.bus,
+            terms.zones,
+            terms.machines,
+            self.reactor,
+            self.connect,
+            random_source,
+            self.listed,
+            self.log,
         )
         self.follower.start(told.known)
         self._beat(self.now())
@@ -157,8 +164,10 @@
         names = ["{}:{}".format(*peer) for peer in peers]
         listed = [Listed(name, *peer) for name, peer in zip(names, peers)]
         me = Listed(names[number], *listen)
-        chance = random.Random(f"{self.told.seed}/{self.told.name}/members")
-        self.fleet = FleetService(self.reactor, me, "platform", listed, new_token(), chance, self.log, None)
+        random_source = random.Random(f"{self.told.seed}/{self.told.name}/members")
+        self.fleet = FleetService(
+            self.reactor, me, "platform", listed, new_token(), random_source, self.log, None
+        )
         self.fleet.startService()
 
     def _link(self, *args) -> PlatformLink:
--- a/petrelway/rehearsal/baselines.py
+++ b/petrelway/rehearsal/baselines.py
@@ -14,7 +14,7 @@
 
     def choose(self, t: Request, now: float) -> Executor | None:
         fit = [e for e in self.ready if self._allowed(t, e, now)]
-        return self.chance.choice(fit) if fit else None
+        return self.random_source.choice(fit) if fit else None
 
     def _allowed(self, t: Request, e: Executor, now: float) -> bool:
         if any(x.executor is e for x in t.out.values()):
@@ -27,7 +27,7 @@
 
     def choose(self, t: Request, now: float) -> Executor | None:
         fit = [e for e in self.ready if self._allowed(t, e, now)]
-        return min(fit, key=lambda e: (len(e.out), self.chance.random())) if fit else None
+        return min(fit, key=lambda e: (len(e.out), self.random_source.random())) if fit else None
 
 
 class PassThrough:
--- a/petrelway/rehearsal/conductor.py
+++ b/petrelway/rehearsal/conductor.py
@@ -43,10 +43,10 @@
     Danger: two rehearsals at a time that each tried ports and let them go would draw the same ones.
     """
 
-    def __init__(self, chance: random.Random) -> None:
+    def __init__(self, random_source: random.Random) -> None:
         """Raises ProcessFailedError if all blocks are taken."""
         blocks = list(range(PORTS.start, PORTS.stop, BLOCK))
-        chance.shuffle(blocks)
+        random_source.shuffle(blocks)
         for first in blocks:
             self.held = socket.socket()
             try:
--- a/petrelway/standin/clients.py
+++ b/petrelway/standin/clients.py
@@ -214,9 +214,9 @@
 
     def __init__(self, reactor, day, ports: list[int], number: int, epoch_ms: float, record) -> None:
         self.reactor, self.day, self.record, self.epoch_ms = reactor, day, record, epoch_ms
-        self.chance = random.Random(f"{day['day'].seed}/clients {number}")
-        self.traffic = Traffic(day, self.chance, day["traffic"].clients)
-        self.manners = Manners(day, len(ports), self.chance)
+        self.random_source = random.Random(f"{day['day'].seed}/clients {number}")
+        self.traffic = Traffic(day, self.random_source, day["traffic"].clients)
+        self.manners = Manners(day, len(ports), self.random_source)
         self.pools = [Pool(reactor, port) for port in ports]
         self.source, self.serial = f"/gateway/{number}", 0
         self.next_ms = epoch_ms
--- a/petrelway/standin/executors.py
+++ b/petrelway/standin/executors.py
@@ -131,10 +131,10 @@
         e = self.executor
         if not self.connected or e.half_open:
             return
-        if e.garbage and e.chance.random() < e.garbage:
-            self.transport.write(e.chance.randbytes(40))
+        if e.garbage and e.random_source.random() < e.garbage:
+            self.transport.write(e.random_source.randbytes(40))
             return
-        if e.reset and e.chance.random() < e.reset:
+        if e.reset and e.random_source.random() < e.reset:
             self.transport.write(frame[: len(frame) // 2])
             self.executor.clock.callLater(0.002, self.transport.abortConnection)
             return
--- a/petrelway/standin/fault_proxy.py
+++ b/petrelway/standin/fault_proxy.py
@@ -204,13 +204,13 @@
         ports: list[int],
         meet: int,
         control: int,
-        chance: random.Random,
+        random_source: random.Random,
         record,
         others: dict[int, int] | None = None,
     ) -> None:
         """`others`: ports of further places that front ends reach by connections, by their number."""
         self.reactor, self.meet, self.record = reactor, meet, record
-        self.faults = FaultSchedule(chance)
+        self.faults = FaultSchedule(random_source)
         self.size, self.ports = len(ports), {**dict(enumerate(ports)), **(others or {})}
         numbers = range(self.size)
         self.pairs = [(a, b) for a in numbers for b in self.ports if a != b]
@@ -302,7 +302,7 @@
     from .parts import stay
 
     record = plan.record("fault_proxy", reactor)
-    chance = fault_random_source(plan.day["day"].seed)
+    random_source = fault_random_source(plan.day["day"].seed)
     others: dict[int, int] = {}
     if other_ways(plan.day):
         others[ROSTER] = plan.ports["roster"]
@@ -310,7 +310,9 @@
             (EXECUTORS + i, port) for i, port in enumerate(plan.ports["executors"][:EXECUTORS_BOUND])
         )
     ports = plan.ports
-    relay = Relay(reactor, ports["peers"], ports["fault_proxy"], ports["control"], chance, record, others)
+    relay = Relay(
+        reactor, ports["peers"], ports["fault_proxy"], ports["control"], random_source, record, others
+    )
     for fault in network_faults(plan.day, plan.epoch_ms):
         relay.faults.add(fault)
     stay(reactor, plan, record)
--- a/petrelway/standin/fault_schedule.py
+++ b/petrelway/standin/fault_schedule.py
@@ -43,8 +43,8 @@
     ([0.0], [], [0.0], [0.0])
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, random_source: random.Random) -> None:
+        self.random_source = random_source
         self.standing: list[NetworkFault] = []
 
     def add(self, fault: NetworkFault) -> None:
@@ -83,7 +83,7 @@
         late = 0.0
         for s in self._on(now, one, other):
             if s.kind == "delay":
-                late += max(0.0, s.size + s.extra * (2.0 * self.chance.random() - 1.0))
+                late += max(0.0, s.size + s.extra * (2.0 * self.random_source.random() - 1.0))
         return late
 
     def carry(self, now: float, one: int, other: int) -> list[float]:
@@ -93,9 +93,9 @@
         replicas = [self.late_ms(now, one, other)]
         for s in self._on(now, one, other):
             if s.kind == "loss":
-                replicas = [c for c in replicas if self.chance.random() >= s.size]
-            elif s.kind == "double" and replicas and self.chance.random() < s.size:
+                replicas = [c for c in replicas if self.random_source.random() >= s.size]
+            elif s.kind == "double" and replicas and self.random_source.random() < s.size:
                 replicas.append(replicas[0] + s.extra)
-            elif s.kind == "reorder" and replicas and self.chance.random() < s.size:
+            elif s.kind == "reorder" and replicas and self.random_source.random() < s.size:
                 replicas[0] += s.extra
         return replicas
--- a/petrelway/standin/hollow.py
+++ b/petrelway/standin/hollow.py
@@ -61,7 +61,7 @@
         """The token of the member's nth process, known in advance so that members can be introduced."""
         return random.Random(f"{self.seed}/{number}/{process}/token").randrange(1, 1 << 32)
 
-    def chance(self, name: str) -> random.Random:
+    def random_source(self, name: str) -> random.Random:
         """The member's own jitter, from the same recipe as a front end's."""
         return random.Random(f"{self.seed}/{name}/members")
 
@@ -159,7 +159,7 @@
         FLEET_NAME,
         peers if peers is not None else plan.peers(),
         plan.token(number, process),
-        plan.chance(me.name),
+        plan.random_source(me.name),
         SilentLog(),
         ignore_part if ports else None,
     )
--- a/petrelway/standin/life.py
+++ b/petrelway/standin/life.py
@@ -40,7 +40,7 @@
         self.post, self.day, self.epoch_ms = post, day, epoch_ms
         self.record, self.store, self.functions, self.marks = record, store, functions, marks
         self.kind = day["fleet"].kinds[post.kind]
-        self.chance = random.Random(f"{day['day'].seed}/{post.name}")
+        self.random_source = random.Random(f"{day['day'].seed}/{post.name}")
         self.keyed = {t.name for t in day["tariffs"] if t.idempotency == "stamped"}
         self.tenants = [c.name for c in day["customers"]]
         traffic = day["traffic"]
@@ -66,11 +66,11 @@
         if self.machine is not None or self.fallen:
             return
         fleet, kind = self.day["fleet"], self.kind
-        self.process = uuid.UUID(int=self.chance.getrandbits(128)).hex[:12]
+        self.process = uuid.UUID(int=self.random_source.getrandbits(128)).hex[:12]
         self.started_ms = self.clock.seconds() * 1e3 if cold else 0.0
         self.machine = Machine(
             self.clock,
-            self.chance,
+            self.random_source,
             kind.cores,
             self.post.speed,
             kind.cores * kind.slots_per_core,
--- a/petrelway/standin/machine.py
+++ b/petrelway/standin/machine.py
@@ -82,7 +82,7 @@
     def __init__(
         self,
         clock,
-        chance: random.Random,
+        random_source: random.Random,
         cores: int,
         speed: float,
         slots: int,
@@ -106,7 +106,7 @@
         say_stood: Callable,
         note: Callable,
     ) -> None:
-        self.clock, self.chance, self.cores, self.speed = clock, chance, cores, speed
+        self.clock, self.random_source, self.cores, self.speed = clock, random_source, cores, speed
         self.slots, self.queue, self.memory_mb = slots, queue, memory_mb
         self.loads_at_once, self.keep_ms = loads_at_once, keep_ms
         self.eager, self.answers_miss = eager, answers_miss
@@ -362,7 +362,7 @@
             return
         copy = job.copy
         self._leave(job, copy)
-        outcome = ERROR if self.chance.random() < self.errors else SUCCEEDED
+        outcome = ERROR if self.random_source.random() < self.errors else SUCCEEDED
         if outcome == SUCCEEDED and job.work.keyed:
             self.marks.add(job.work.mark, self.now())
         self._say(job.work, outcome, job.warmth, job.crowd)
@@ -456,7 +456,7 @@
     def _fetched(self, loading: Loading, good: bool) -> None:
         if self.dead:
             return
-        if not good or self.chance.random() < self.load_fail:
+        if not good or self.random_source.random() < self.load_fail:
             self._load_failed(loading)
             return
         if self.images is not None:
--- a/petrelway/standin/manners.py
+++ b/petrelway/standin/manners.py
@@ -18,9 +18,9 @@
 class Manners:
     """Clients of one process; `fronts` front ends to choose from."""
 
-    def __init__(self, day: dict[str, Any], fronts: int, chance: random.Random) -> None:
+    def __init__(self, day: dict[str, Any], fronts: int, random_source: random.Random) -> None:
         self.traffic, self.request_classes = day["traffic"], day["tariffs"]
-        self.grace_ms, self.fronts, self.chance = day["day"].grace_ms, fronts, chance
+        self.grace_ms, self.fronts, self.random_source = day["day"].grace_ms, fronts, random_source
 
     def left_ms(self, request_class: int, since_first_ms: float) -> float:
         """The time that a try is given; 0 if there is too little to begin one."""
@@ -30,14 +30,14 @@
 
     def patience_ms(self, left_ms: float) -> tuple[float, bool]:
         """How long it waits for an answer, and whether it leaves for want of patience."""
-        if self.chance.random() < self.traffic.impatient:
-            return left_ms * self.chance.random(), True
+        if self.random_source.random() < self.traffic.impatient:
+            return left_ms * self.random_source.random(), True
         return left_ms + self.grace_ms + LONG_MS, False
 
     def after_answer(self, outcome: str, advised_ms: float, request_class: int, turn: int) -> Again | None:
         if outcome == "fulfilled":
             return None
-        honours = advised_ms and self.chance.random() < self.traffic.honour
+        honours = advised_ms and self.random_source.random() < self.traffic.honour
         wait_ms = advised_ms if honours else self.traffic.backoff_ms
         # a broken-off one may have run: only a harmless one is tried again
         if outcome == "nacked" or self.request_classes[request_class].idempotency == "harmless":
@@ -60,4 +60,4 @@
         """The front end of the next try."""
         if not elsewhere or self.fronts == 1:
             return before
-        return self.chance.choice([f for f in range(self.fronts) if f != before])
+        return self.random_source.choice([f for f in range(self.fronts) if f != before])
--- a/petrelway/standin/roster.py
+++ b/petrelway/standin/roster.py
@@ -38,12 +38,14 @@
 
 def changes(day: dict[str, Any], script: Script, ports: Sequence[int], epoch_ms: float) -> list[Change]:
     """What the list service will tell of the script, each as late as the day lets it."""
-    chance = random.Random(f"{day['day'].seed}/roster")
+    random_source = random.Random(f"{day['day'].seed}/roster")
     posts = {p.number: p for p in script.posts}
     found = []
     for h in script.happenings:
         if h.who == "executor" and h.what in ("start", "drain", "die", "leave"):
-            late = chance.uniform(*(day["roster"].add_ms if h.what == "start" else day["roster"].notice_ms))
+            late = random_source.uniform(
+                *(day["roster"].add_ms if h.what == "start" else day["roster"].notice_ms)
+            )
             stage = {"start": "ready", "drain": "draining"}.get(h.what, "gone")
             at = epoch_ms + h.at_ms
             started = at if h.what == "start" else 0.0
--- a/petrelway/standin/script.py
+++ b/petrelway/standin/script.py
@@ -62,8 +62,8 @@
 def write(day: dict[str, Any]) -> Script:
     """The script of a day's sections."""
     fleet, times = day["fleet"], day["day"]
-    chance = random.Random(f"{times.seed}/posts")
-    posts = [_post(fleet, chance, i, i % len(fleet.zones), 0.0) for i in range(fleet.executors)]
+    random_source = random.Random(f"{times.seed}/posts")
+    posts = [_post(fleet, random_source, i, i % len(fleet.zones), 0.0) for i in range(fleet.executors)]
     happenings: list[Happening] = []
     alive = list(range(fleet.executors))
     for i, trouble in enumerate(day["troubles"]):
@@ -102,7 +102,7 @@
     return frozenset(n for x in day["fleet_troubles"] if x.kind == "late" for n in x.on)
 
 
-def _to_front_ends(fleet, x, chance: random.Random, add: list[Happening]) -> None:
+def _to_front_ends(fleet, x, random_source: random.Random, add: list[Happening]) -> None:
     begins, ends = {"kill": ("kill", "start"), "stop": ("stop", "go on"), "leave": ("leave", "start")}.get(
         x.kind, ("", "")
     )
@@ -110,7 +110,7 @@
     if x.kind == "late":
         add.extend(Happening(at, "front", f, "start") for f in x.on)
     elif begins:
-        for f in x.on or _some(chance, list(range(fleet.fronts)), x.part):
+        for f in x.on or _some(random_source, list(range(fleet.fronts)), x.part):
             add.append(Happening(at, "front", f, begins))
             if x.len_s:
                 add.append(Happening(end, "front", f, ends))
@@ -129,25 +129,27 @@
     return found
 
 
-def _post(fleet, chance: random.Random, number: int, zone: int, begins_ms: float) -> Post:
-    kind = chance.choices(range(len(fleet.kinds)), [k.share for k in fleet.kinds])[0]
-    speed = chance.uniform(*fleet.kinds[kind].speed)
+def _post(fleet, random_source: random.Random, number: int, zone: int, begins_ms: float) -> Post:
+    kind = random_source.choices(range(len(fleet.kinds)), [k.share for k in fleet.kinds])[0]
+    speed = random_source.uniform(*fleet.kinds[kind].speed)
     return Post(number, f"executor-{number}", zone, number // fleet.cell_size, kind, speed, begins_ms)
 
 
-def _some(chance: random.Random, among: list[int], part: float) -> list[int]:
-    return sorted(chance.sample(among, min(len(among), max(1, round(part * len(among))))))
+def _some(random_source: random.Random, among: list[int], part: float) -> list[int]:
+    return sorted(random_source.sample(among, min(len(among), max(1, round(part * len(among))))))
 
 
-def _script(day, x, chance: random.Random, posts: list[Post], alive: list[int], add: list[Happening]) -> None:
+def _script(
+    day, x, random_source: random.Random, posts: list[Post], alive: list[int], add: list[Happening]
+) -> None:
     at, end = x.at_s * 1e3, (x.at_s + x.len_s) * 1e3
     fleet = day["fleet"]
     if x.kind in EXECUTOR_SPELLS:
         what = EXECUTOR_SPELLS[x.kind]
-        for e in x.on or _some(chance, alive, x.part):
+        for e in x.on or _some(random_source, alive, x.part):
             begin = at
             if what == "pauses":
-                begin += chance.random() * max(1.0, x.extra) * 1e3  # out of step
+                begin += random_source.random() * max(1.0, x.extra) * 1e3  # out of step
             add.append(Happening(begin, "executor", e, what, x.size, x.extra, x.which))
             add.append(Happening(end, "executor", e, f"end {what}", x.size, x.extra, x.which))
             if what == "ageing":  # it dies at the end and comes back cold
@@ -173,13 +175,13 @@
                     add.append(Happening(at, "front", f, "kill"))
                     add.append(Happening(end, "front", f, "start"))
     elif x.kind == "deploy":
-        olds = x.on or _some(chance, alive, x.part)
+        olds = x.on or _some(random_source, alive, x.part)
         batch = max(1, round(x.size * len(alive)))
         rounds = [olds[i : i + batch] for i in range(0, len(olds), batch)]
         for i, some in enumerate(rounds):
             begin = at + i * (end - at) / len(rounds)
             for old in some:
-                new = _post(fleet, chance, len(posts), posts[old].zone, begin)._replace(
+                new = _post(fleet, random_source, len(posts), posts[old].zone, begin)._replace(
                     cell=posts[old].cell, kind=posts[old].kind
                 )
                 posts.append(new)
@@ -188,12 +190,12 @@
                 add.append(Happening(begin, "executor", old, "drain"))
                 add.append(Happening(begin + max(1.0, x.extra) * 1e3, "executor", old, "leave"))
     elif x.kind == "balancer_crash":
-        for f in x.on or _some(chance, list(range(fleet.fronts)), x.part):
+        for f in x.on or _some(random_source, list(range(fleet.fronts)), x.part):
             add.append(Happening(at, "front", f, "kill"))
             add.append(Happening(end, "front", f, "start"))
     elif x.kind == "balancer_stall":
-        for f in x.on or _some(chance, list(range(fleet.fronts)), x.part):
-            begin = at + chance.random() * max(0.5, x.extra) * 1e3
+        for f in x.on or _some(random_source, list(range(fleet.fronts)), x.part):
+            begin = at + random_source.random() * max(0.5, x.extra) * 1e3
             while begin < end:
                 add.append(Happening(begin, "front", f, "stop"))
                 add.append(Happening(begin + x.size, "front", f, "go on"))
@@ -202,7 +204,7 @@
         add.append(Happening(at, "store", -1, "slow", x.size))
         add.append(Happening(end, "store", -1, "slow", 1.0))
     elif x.kind == "flush":
-        add.append(Happening(at, "executor", -1, "flush", x.size or x.part, chance.random()))
+        add.append(Happening(at, "executor", -1, "flush", x.size or x.part, random_source.random()))
     elif x.kind in ("cut", "far", "loss"):
         add.append(Happening(at, "network", -1, x.kind, x.size, x.extra, x.which))
         add.append(Happening(end, "network", -1, f"end {x.kind}", x.size, x.extra, x.which))
--- a/petrelway/standin/traffic.py
+++ b/petrelway/standin/traffic.py
@@ -34,18 +34,18 @@
 
 def functions(day: dict[str, Any]) -> list[FunctionTruth]:
     """The day's functions, most popular first."""
-    draw, chance = day["functions"], random.Random(f"{day['day'].seed}/functions")
+    draw, random_source = day["functions"], random.Random(f"{day['day'].seed}/functions")
     found = []
     for i in range(draw.count):
-        load = chance.uniform(*draw.load_ms)
+        load = random_source.uniform(*draw.load_ms)
         found.append(
             FunctionTruth(
                 f"model-{i}",
-                chance.uniform(*draw.memory_mb),
-                chance.choice(draw.lanes),
+                random_source.uniform(*draw.memory_mb),
+                random_source.choice(draw.lanes),
                 load * draw.fetch_share,
                 load * (1.0 - draw.fetch_share),
-                math.exp(chance.gauss(0.0, 0.3)),
+                math.exp(random_source.gauss(0.0, 0.3)),
             )
         )
     return found
@@ -54,8 +54,8 @@
 class Traffic:
     """Arrivals of one client process out of `of`."""
 
-    def __init__(self, day: dict[str, Any], chance: random.Random, of: int) -> None:
-        self.day, self.chance = day, chance
+    def __init__(self, day: dict[str, Any], random_source: random.Random, of: int) -> None:
+        self.day, self.random_source = day, random_source
         self.traffic, self.request_classes, self.fleet = day["traffic"], day["tariffs"], day["fleet"]
         self.rate = self.traffic.rate / of / 1e3  # a ms
         self.functions = functions(day)
@@ -88,33 +88,35 @@
 
     def wait(self) -> float:
         """Until the next arrival, in ms."""
-        return self.chance.expovariate(self.rate * self.burst)
+        return self.random_source.expovariate(self.rate * self.burst)
 
     def draw(self, now: float) -> Asked:
-        chance = self.chance
-        request_class = chance.choices(range(len(self.shares)), self.shares)[0]
-        tenant = chance.choices(range(len(self.portions)), self.portions)[0]
-        if chance.random() < self.scan:
+        random_source = self.random_source
+        request_class = random_source.choices(range(len(self.shares)), self.shares)[0]
+        tenant = random_source.choices(range(len(self.portions)), self.portions)[0]
+        if random_source.random() < self.scan:
             self.once += 1
-            f = FunctionTruth(f"once-{chance.getrandbits(40):x}", 300.0, 4, 350.0, 150.0, 1.0)
+            f = FunctionTruth(f"once-{random_source.getrandbits(40):x}", 300.0, 4, 350.0, 150.0, 1.0)
         else:
-            f = self.functions[bisect.bisect_left(self.popular, chance.random() * self.popular[-1])]
+            f = self.functions[bisect.bisect_left(self.popular, random_source.random() * self.popular[-1])]
         work = self.traffic.work.get(self.request_classes[request_class].name)
         mean, cv, io = (work.mean_ms, work.cv, work.io_ms) if work else (150.0, 0.7, 0.0)
         sigma = math.sqrt(math.log(1.0 + cv * cv))
-        work_ms = mean * f.pace * math.exp(chance.gauss(-sigma * sigma / 2, sigma))
+        work_ms = mean * f.pace * math.exp(random_source.gauss(-sigma * sigma / 2, sigma))
         times, share, heavy = self.heavy
-        if request_class == heavy and chance.random() < share:
+        if request_class == heavy and random_source.random() < share:
             work_ms *= times
         hint = (
-            work_ms * math.exp(chance.gauss(0.0, self.traffic.hint_cv)) if self.traffic.hint_cv < 4 else 0.0
+            work_ms * math.exp(random_source.gauss(0.0, self.traffic.hint_cv))
+            if self.traffic.hint_cv < 4
+            else 0.0
         )
         return Asked(request_class, tenant, f, self._front(now), work_ms, io, hint)
 
     def _front(self, now: float) -> int:
         begin, end, share, zone = self.moving
-        if end and self.chance.random() < share * min(1.0, max(0.0, (now - begin) / (end - begin))):
+        if end and self.random_source.random() < share * min(1.0, max(0.0, (now - begin) / (end - begin))):
             fronts = self.fronts[zone] or [0]
         else:
-            fronts = self.chance.choices(self.fronts, self.zones)[0]
-        return self.chance.choice(fronts)
+            fronts = self.random_source.choices(self.fronts, self.zones)[0]
+        return self.random_source.choice(fronts)
--- a/tests/compatibility/forms_fleet_words.py
+++ b/tests/compatibility/forms_fleet_words.py
@@ -102,7 +102,9 @@
         Clock(), me, "gateway", [me, *peers], 7, random.Random(1), ReturnLogger(), None, None
     )
     ids = [words.digest(peer.name) for peer in peers]
-    service.members = Members(0.0, words.digest("front-0"), 7, words.digest("gateway"), ids, service.chance)
+    service.members = Members(
+        0.0, words.digest("front-0"), 7, words.digest("gateway"), ids, service.random_source
+    )
     service.parts = Parts(0.0, len(ids) + 1)
     service.held = service.parts.held(service.members, 0.0)
     for number, state in zip(ids, words.State):
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -78,31 +78,31 @@
 
 def test_random_task_sets_keep_budgets_and_starve_nobody():
     for seed in range(1500):
-        chance = random.Random(seed)
-        share, longest = chance.choice([0.05, 0.2, 0.5]), chance.choice([200.0, 1000.0])
+        random_source = random.Random(seed)
+        share, longest = random_source.choice([0.05, 0.2, 0.5]), random_source.choice([200.0, 1000.0])
         p = planner(share=share, longest_wait_ms=longest)
         now, ran, last, used, overran = 0.0, {}, {}, 0.0, 0.0
-        for i in range(chance.randint(1, 8)):
-            rate = chance.choice([math.inf, math.inf, 0.02])
+        for i in range(random_source.randint(1, 8)):
+            rate = random_source.choice([math.inf, math.inf, 0.02])
             id = p.add(
                 0.0,
                 f"t{i}",
-                chance.choice(list(Class)),
-                chance.uniform(0, 5000.0),
+                random_source.choice(list(Class)),
+                random_source.uniform(0, 5000.0),
                 rate,
                 math.inf if math.isinf(rate) else 4.0,
             )
             ran[id], last[id] = 0, 0.0
         tasks, horizon = len(ran), 6000.0
-        lagging = chance.random() < 0.5
+        lagging = random_source.random() < 0.5
         while now < horizon:
-            if lagging and chance.random() < 0.2:
-                p.lag_seen(now, chance.uniform(0.0, 300.0))
+            if lagging and random_source.random() < 0.2:
+                p.lag_seen(now, random_source.uniform(0.0, 300.0))
             s = p.next(now)
             if s is None:
                 now += min(50.0, max(0.2, p.wake(now)))
                 continue
-            took = s.ms * chance.choice([0.3, 1.0, 1.0, 1.5])
+            took = s.ms * random_source.choice([0.3, 1.0, 1.0, 1.5])
             overran += max(0.0, took - s.ms) if not s.forced else 0.0
             used += took
             wait = now - last[s.task]
@@ -224,9 +224,9 @@
     for pressure, least, most in ((1.55, 0.85, 0.95), (1.75, 0.45, 0.55), (1.95, 0.05, 0.15)):
         s = shedder((0.7, 0.2, 0.1))
         press(s, pressure)
-        chance, taken, asked = random.Random(2), [0, 0, 0], [0, 0, 0]
+        random_source, taken, asked = random.Random(2), [0, 0, 0], [0, 0, 0]
         for i in range(6000):
-            tenant = chance.choices(range(3), (0.7, 0.2, 0.1))[0]
+            tenant = random_source.choices(range(3), (0.7, 0.2, 0.1))[0]
             asked[tenant] += 1
             taken[tenant] += not s.ask(i * 0.5, tenant, False)
         for t, a in zip(taken, asked, strict=True):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -290,31 +290,31 @@
 def test_sums_and_ranks_are_kept_as_they_change():
     """Danger: a sum that drifts closes the overflow for good, or never."""
     for seed in range(12):
-        chance = random.Random(seed)
-        host, out = Host(0, misses=chance.random() < 0.5, seed=seed, started={}), {}
+        random_source = random.Random(seed)
+        host, out = Host(0, misses=random_source.random() < 0.5, seed=seed, started={}), {}
         stages, started = {}, {}
         for step in range(300):
-            if chance.random() < 0.15:
+            if random_source.random() < 0.15:
                 some = {
-                    e: chance.choice([Stage.READY, Stage.READY, Stage.DRAINING, Stage.GONE])
-                    for e in chance.sample(range(12), chance.choice([1, 1, 5]))
+                    e: random_source.choice([Stage.READY, Stage.READY, Stage.DRAINING, Stage.GONE])
+                    for e in random_source.sample(range(12), random_source.choice([1, 1, 5]))
                 }
                 stages.update(some)
-                if chance.random() < 0.3:
+                if random_source.random() < 0.3:
                     started.update(dict.fromkeys(some, host.now))
-                host.lists(some, complete=chance.random() < 0.1, started=started)
-            if chance.random() < 0.6:
-                host.take(chance.randrange(5), work=chance.choice([0.0, 50.0, 400.0]))
-            for d in host.pull(chance.choice([0.0, 5.0, 60.0, 3000.0])):
+                host.lists(some, complete=random_source.random() < 0.1, started=started)
+            if random_source.random() < 0.6:
+                host.take(random_source.randrange(5), work=random_source.choice([0.0, 50.0, 400.0]))
+            for d in host.pull(random_source.choice([0.0, 5.0, 60.0, 3000.0])):
                 if d.verb is Verb.SEND:
                     out.setdefault(d.request, []).append(len(out.get(d.request, ())))
                 elif d.verb is Verb.PREFETCH:
-                    end = chance.choice(list(Outcome))
+                    end = random_source.choice(list(Outcome))
                     host.fe.load_request_answered(host.now, d.executor, d.function, end, 1, 300.0)
-            for t in chance.sample(sorted(out), min(2, len(out))):
+            for t in random_source.sample(sorted(out), min(2, len(out))):
                 for number in out.pop(t):
-                    took, warmth = chance.choice([20.0, 2500.0]), chance.choice(list(Warmth))
-                    host.end(t, chance.choice(list(Outcome)), number=number, took=took, warmth=warmth)
+                    took, warmth = random_source.choice([20.0, 2500.0]), random_source.choice(list(Warmth))
+                    host.end(t, random_source.choice(list(Outcome)), number=number, took=took, warmth=warmth)
             if step % 5 == 0:
                 check_sums(host.fe)
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -27,10 +27,10 @@
 
 def test_sketch_against_a_plain_counter():
     for seed in range(20):
-        chance = random.Random(seed)
+        random_source = random.Random(seed)
         top, plain = TopNames(50), Counter()
         for _ in range(20_000):
-            name = f"f{int(chance.paretovariate(0.9))}"
+            name = f"f{int(random_source.paretovariate(0.9))}"
             top.add(name)
             plain[name] += 1
         assert len(top.counts) == 50 and sum(top.counts.values()) == top.total and len(top.heap) <= 51
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -127,19 +127,19 @@
 
 @pytest.mark.parametrize("seed", range(4))  # a dozen more are emulated
 def test_overlapping_troubles(seed):
-    chance = random.Random(seed)
-    troubles = chance.sample(PLAYED, 4)
+    random_source = random.Random(seed)
+    troubles = random_source.sample(PLAYED, 4)
     changes = {
-        "keeping": {"answers_miss": chance.random() < 0.4},
+        "keeping": {"answers_miss": random_source.random() < 0.4},
         "fleet": {
-            "images": chance.random() < 0.5,
-            "fail_says": chance.choice(["miss", "error"]),
-            "eager": chance.random() < 0.5,
+            "images": random_source.random() < 0.5,
+            "fail_says": random_source.choice(["miss", "error"]),
+            "eager": random_source.random() < 0.5,
         },
     }
-    if chance.random() < 0.5:
+    if random_source.random() < 0.5:
         changes["ration"] = {"window_ms": 3000, "free": 4, "share": 0.2}
-    kept(day(troubles, seed=seed, rate=chance.choice([30, 60, 150]), **changes))
+    kept(day(troubles, seed=seed, rate=random_source.choice([30, 60, 150]), **changes))
 
 
 class Silent(FrontEnd):
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -299,15 +299,15 @@
 
 
 def test_budget_never_gives_the_same_room_twice():
-    chance = random.Random(2)
+    random_source = random.Random(2)
     budget, held = Budget(1000.0), {}
     for i in range(2000):
-        if held and chance.random() < 0.45:
-            gone = chance.choice(list(held))
+        if held and random_source.random() < 0.45:
+            gone = random_source.choice(list(held))
             budget.give_back(gone)
             del held[gone]
         else:
-            mb = chance.uniform(10.0, 300.0)
+            mb = random_source.uniform(10.0, 300.0)
             if budget.reserve(i, mb):
                 held[i] = mb
         assert sum(held.values()) <= 1000.0 + 1e-6 and abs(budget.used_mb() - sum(held.values())) < 1e-6
@@ -315,56 +315,62 @@
 
 def test_random_days_end_each_request_once():
     for seed in range(60):
-        chance = random.Random(seed)
+        random_source = random.Random(seed)
         rig = Rig(
             budget_mb=900.0,
-            more_replicas=chance.random() < 0.5,
-            answers_miss=chance.random() < 0.3,
+            more_replicas=random_source.random() < 0.5,
+            answers_miss=random_source.random() < 0.3,
             queue=5,
             slots=4,
             line=3,
         )
         owed, calls, loads, cancelled = set(), [], [], set()
         for _ in range(250):
-            what = chance.randrange(10)
+            what = random_source.randrange(10)
             if what <= 3:
                 owed.add(
                     rig.take(
-                        chance.choice("fgh"),
-                        chance.choice([200.0, 400.0]),
-                        keyed=chance.choice([0, 500.0]),
-                        mark=chance.choice("xyz"),
-                        remaining=chance.choice([300.0, 5000.0]),
-                        front=chance.choice("ab"),
+                        random_source.choice("fgh"),
+                        random_source.choice([200.0, 400.0]),
+                        keyed=random_source.choice([0, 500.0]),
+                        mark=random_source.choice("xyz"),
+                        remaining=random_source.choice([300.0, 5000.0]),
+                        front=random_source.choice("ab"),
                     )
                 )
             elif what == 4 and loads:
-                load = loads.pop(chance.randrange(len(loads)))
-                if chance.random() < 0.7:
-                    rig.desk.load_told(rig.now, load, chance.choice(["d1", "d2"]), 200.0, 2)
+                load = loads.pop(random_source.randrange(len(loads)))
+                if random_source.random() < 0.7:
+                    rig.desk.load_told(rig.now, load, random_source.choice(["d1", "d2"]), 200.0, 2)
                     rig.desk.load_stood(rig.now, load)
                 else:
                     rig.desk.load_failed(rig.now, load, "x")
             elif what in (5, 6) and calls:
-                copy, call = calls.pop(chance.randrange(len(calls)))
-                if chance.random() < 0.1:
+                copy, call = calls.pop(random_source.randrange(len(calls)))
+                if random_source.random() < 0.1:
                     rig.desk.replica_died(rig.now, copy, "x")
                 else:
-                    rig.desk.call_ended(rig.now, copy, call, chance.random() < 0.8, b"x")
+                    rig.desk.call_ended(rig.now, copy, call, random_source.random() < 0.8, b"x")
             elif what == 7 and owed:
-                serial = chance.choice(sorted(owed))
+                serial = random_source.choice(sorted(owed))
                 for front in "ab":
                     rig.desk.cancelled(rig.now, front, serial, 0)
                 cancelled.add(serial)
             elif what == 8:
                 rig.desk.load_requested(
-                    rig.now, "a", rig.serial, chance.choice("fgh"), chance.choice([0, 1, 2]), 200.0, 2
+                    rig.now,
+                    "a",
+                    rig.serial,
+                    random_source.choice("fgh"),
+                    random_source.choice([0, 1, 2]),
+                    200.0,
+                    2,
                 )
-            elif chance.random() < 0.3:
+            elif random_source.random() < 0.3:
                 rig.desk.memory_seen(
-                    rig.now, 20.0, {c: chance.uniform(50.0, 500.0) for c in rig.desk.replicas}
+                    rig.now, 20.0, {c: random_source.uniform(50.0, 500.0) for c in rig.desk.replicas}
                 )
-            for act in rig.pull(chance.choice([0.0, 20.0, 400.0])):
+            for act in rig.pull(random_source.choice([0.0, 20.0, 400.0])):
                 if act.do is Do.CALL:
                     calls.append((act.copy, act.call))
                 elif act.do is Do.LOAD:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -55,7 +55,7 @@
 
 def net(**changes):
     told = {"within_ms": 1.0, "between_ms": 10.0, "jitter": 0.0, "loss": 0.0, "again_ms": 200.0, **changes}
-    return Network(**told, chance=random.Random(4))
+    return Network(**told, random_source=random.Random(4))
 
 
 def test_a_cable_keeps_its_order_and_waits_for_the_end_of_a_cut():
@@ -244,19 +244,19 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_overlapping_troubles(seed):
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     tree = day(
-        chance.sample(KINDS, 5),
+        random_source.sample(KINDS, 5),
         seed=seed,
-        rate=chance.choice([30, 60, 150]),
-        keeping={"answers_miss": chance.random() < 0.4},
+        rate=random_source.choice([30, 60, 150]),
+        keeping={"answers_miss": random_source.random() < 0.4},
         fleet={
-            "images": chance.random() < 0.5,
-            "eager": chance.random() < 0.5,
-            "fronts": chance.choice([1, 3, 12]),
+            "images": random_source.random() < 0.5,
+            "eager": random_source.random() < 0.5,
+            "fronts": random_source.choice([1, 3, 12]),
         },
-        network={"between_ms": chance.choice([0.5, 20.0]), "loss": chance.choice([0.0, 0.01])},
-        **({"ration": {"window_ms": 3000, "free": 4, "share": 0.2}} if chance.random() < 0.5 else {}),
+        network={"between_ms": random_source.choice([0.5, 20.0]), "loss": random_source.choice([0.0, 0.01])},
+        **({"ration": {"window_ms": 3000, "free": 4, "share": 0.2}} if random_source.random() < 0.5 else {}),
     )
     for trouble in tree["troubles"]:
         trouble.update(SIZE.get(trouble["kind"], {}))
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -144,34 +144,40 @@
     return {"service": 1.0}
 
 
-def rows(chance, mean, spread, seeds=8, point="a"):
+def rows(random_source, mean, spread, seeds=8, point="a"):
     return [
-        {"at": point, "seed": float(s), "service": chance.gauss(mean, 0.001) + spread * s}
+        {"at": point, "seed": float(s), "service": random_source.gauss(mean, 0.001) + spread * s}
         for s in range(seeds)
     ]
 
 
 def test_differences_beyond_noise():
-    chance = random.Random(1)
+    random_source = random.Random(1)
     # what moved, and how much seeds differ from each other: pairs take the latter out
     for mean, spread, differs in ((0.02, 0.05, True), (0.0, 0.05, False), (0.02, 0.0, True)):
-        found = paired(rows(chance, 0.5, spread), rows(chance, 0.5 + mean, spread), ["at"], "service", chance)
+        found = paired(
+            rows(random_source, 0.5, spread),
+            rows(random_source, 0.5 + mean, spread),
+            ["at"],
+            "service",
+            random_source,
+        )
         assert [f.differs for f in found] == [differs] and found[0].low <= found[0].mean <= found[0].high
     wrong = 0
     for i in range(60):  # noise alone, at 20 points each: hardly ever a verdict
-        a = [r for k in range(20) for r in rows(chance, 0.5, 0.01, point=str(k))]
-        b = [r for k in range(20) for r in rows(chance, 0.5, 0.01, point=str(k))]
-        wrong += any(f.differs for f in paired(a, b, ["at"], "service", chance))
+        a = [r for k in range(20) for r in rows(random_source, 0.5, 0.01, point=str(k))]
+        b = [r for k in range(20) for r in rows(random_source, 0.5, 0.01, point=str(k))]
+        wrong += any(f.differs for f in paired(a, b, ["at"], "service", random_source))
         if not i:
-            assert paired(a, b[:8], ["at"], "service", chance)[0].pairs == 8
+            assert paired(a, b[:8], ["at"], "service", random_source)[0].pairs == 8
     assert wrong <= 9
 
 
 def test_hunted_days_are_days_and_cut_down():
-    chance = random.Random(3)
+    random_source = random.Random(3)
     base = day(length=10)
     for _ in range(200):
-        check_day("x", drawn(base, chance, list(KINDS)))
+        check_day("x", drawn(base, random_source, list(KINDS)))
 
     def play(tree):
         kinds = [t["kind"] for t in tree["troubles"]]
@@ -216,12 +222,12 @@
     code, out = run("emulate", file)
     assert code == 2 and "fleet.halls" in out
     results = Results({"commit": "", "decisions": "d"})
-    chance = random.Random(2)
+    random_source = random.Random(2)
     for policy, mean in (("petrelway", 0.9), ("random", 0.4)):
         for rate in (10, 20):
             for seed in range(4):
                 results.add({AXIS + "<b>rate": str(rate), "policy": policy, "seed": float(seed),
-                             "service": mean + 0.01 * chance.random()})  # fmt: skip
+                             "service": mean + 0.01 * random_source.random()})  # fmt: skip
     results.save(tmp_path / "r.npz")
     code, out = run("plot", tmp_path / "r.npz", "-o", tmp_path / "plots", "--figures", "service")
     page = (tmp_path / "plots" / "report.html").read_text()
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -79,32 +79,34 @@
         return [words.read(data) for _, what, _, data in self.left if what == "send"]
 
 
-def drawn_news(chance):
+def drawn_news(random_source):
     """Of anybody, the reader too: alive, accused, failed or gone, of this process or an earlier one."""
-    number = chance.randrange(PLAN.size)
-    start = Start(chance.choice((1, 1, 1, 2, 3)), PLAN.token(number, chance.choice((0, 0, 0, 1))))
-    state = chance.choices((State.ALIVE, State.SUSPECTED, State.FAILED, State.LEFT), (12, 4, 2, 1))[0]
+    number = random_source.randrange(PLAN.size)
+    start = Start(
+        random_source.choice((1, 1, 1, 2, 3)), PLAN.token(number, random_source.choice((0, 0, 0, 1)))
+    )
+    state = random_source.choices((State.ALIVE, State.SUSPECTED, State.FAILED, State.LEFT), (12, 4, 2, 1))[0]
     return News(digest(PLAN.listed(number).name), start, state)
 
 
 def drawn_schedule(seed):
     """What arrives at the member, and when: all kinds, some bytes that are no message, a silent stretch."""
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     ids = [digest(p.name) for p in PLAN.peers()]
     peers = digest(*map(str, sorted(ids)))
     schedule, at = [], 0.0
     while at < DAY_S:
-        at += chance.expovariate(12.0)
+        at += random_source.expovariate(12.0)
         if DAY_S / 2 < at < DAY_S / 2 + 8.0:
             continue
-        number = chance.choice([n for n in range(PLAN.size - 3) if n != ME])
-        kind = chance.choices(list(Kind), (8, 8, 4, 2, 0.1))[0]
-        news = tuple(drawn_news(chance) for _ in range(chance.choice((0, 1, 16))))
+        number = random_source.choice([n for n in range(PLAN.size - 3) if n != ME])
+        kind = random_source.choices(list(Kind), (8, 8, 4, 2, 0.1))[0]
+        news = tuple(drawn_news(random_source) for _ in range(random_source.choice((0, 1, 16))))
         word = Word(
-            kind, digest(FLEET_NAME), ids[number], Start(1, PLAN.token(number)), peers, chance.randrange(4),
-            chance.randrange(1 << 31), chance.choice(ids), news,
+            kind, digest(FLEET_NAME), ids[number], Start(1, PLAN.token(number)), peers, random_source.randrange(4),
+            random_source.randrange(1 << 31), random_source.choice(ids), news,
         )  # fmt: skip
-        data = words.write(word) if chance.random() < 0.97 else chance.randbytes(40)
+        data = words.write(word) if random_source.random() < 0.97 else random_source.randbytes(40)
         listed = PLAN.listed(number)
         schedule.append((at, data, (listed.address, listed.port)))
     return schedule
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -165,24 +165,40 @@
 
 def test_random_races_leave_nothing_owed():
     for seed in range(25):
-        chance = random.Random(seed)
-        rig = Rig(executors=3, idempotency=chance.choice(list(Idempotency)), misses=chance.random() < 0.4)
+        random_source = random.Random(seed)
+        rig = Rig(
+            executors=3,
+            idempotency=random_source.choice(list(Idempotency)),
+            misses=random_source.random() < 0.4,
+        )
         out, deferreds = [], []
         for _ in range(120):
-            what = chance.randrange(6)
+            what = random_source.randrange(6)
             if what <= 1:
                 deferreds.append(
-                    rig.take(chance.choice([50.0, 800.0, 3000.0]), F._replace(name=chance.choice("fgh")))
+                    rig.take(
+                        random_source.choice([50.0, 800.0, 3000.0]),
+                        F._replace(name=random_source.choice("fgh")),
+                    )
                 )
             elif what == 2 and out:
-                e, serial, number, _ = out.pop(chance.randrange(len(out)))
-                rig.end(e, serial, chance.choice([0, 0, 0, 1, 2, 8]), number, chance.choice([0, 1, 2, 4]))
-            elif what == 3 and deferreds and chance.random() < 0.3:
-                chance.choice(deferreds)[1].cancel()
-            elif what == 4 and chance.random() < 0.1:
-                rig.lists({e: chance.choice(["ready", "draining"]) for e in range(3)}, chance.random() < 0.5)
+                e, serial, number, _ = out.pop(random_source.randrange(len(out)))
+                rig.end(
+                    e,
+                    serial,
+                    random_source.choice([0, 0, 0, 1, 2, 8]),
+                    number,
+                    random_source.choice([0, 1, 2, 4]),
+                )
+            elif what == 3 and deferreds and random_source.random() < 0.3:
+                random_source.choice(deferreds)[1].cancel()
+            elif what == 4 and random_source.random() < 0.1:
+                rig.lists(
+                    {e: random_source.choice(["ready", "draining"]) for e in range(3)},
+                    random_source.random() < 0.5,
+                )
             else:
-                rig.step(chance.choice([0.0, 10.0, 60.0]))
+                rig.step(random_source.choice([0.0, 10.0, 60.0]))
             out += rig.sent()
         rig.step(3200.0)
         assert all(len(got) == 1 for got in rig.answers.values()), seed
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -211,13 +211,13 @@
 
 def test_ledger_never_claims_too_much():
     """Any order of events: a key ends once, and as never run only if it was not handed over."""
-    chance = random.Random(5)
+    random_source = random.Random(5)
     for _ in range(300):
         ledger, handed, ends = Ledger(5), set(), []
         keys = [(i, 0) for i in range(12)]
         taken = set()
         for _ in range(40):
-            key, what = chance.choice(keys), chance.randrange(5)
+            key, what = random_source.choice(keys), random_source.randrange(5)
             if what == 0 and key not in taken:
                 taken.add(key)
                 if not ledger.wait(key):
@@ -228,7 +228,7 @@
                 ends.append((key, Outcome.SUCCEEDED))
             elif what == 3 and (end := ledger.give_up(key, Outcome.TIMEOUT)):
                 ends.append((key, end[1]))
-            elif what == 4 and chance.random() < 0.2:
+            elif what == 4 and random_source.random() < 0.2:
                 ends += ledger.broke()
         ends += ledger.broke()
         assert sorted(key for key, _ in ends) == sorted(taken)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -61,8 +61,8 @@
 
 def test_known_delays_are_found_again():
     delays = [10.0 * 1.5**i for i in range(10)] * 60
-    chance = random.Random(3)
-    chance.shuffle(delays)
+    random_source = random.Random(3)
+    random_source.shuffle(delays)
     known = sorted(delays)
     found = Rig([Due(5.0 * i, "f", 1.0) for i in range(600)], delay=iter(delays).__next__).run()
     assert found["due"] == 600 and found["ended"] == {"fulfilled": 600}
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -51,18 +51,18 @@
         warm=False,
         seed=1,
     ):
-        self.chance = random.Random(f"{front_ends}/{seed}")
+        self.random_source = random.Random(f"{front_ends}/{seed}")
         self.multiple, self.capacity, self.warm = multiple, capacity, warm
         self.front_ends, self.restarts, self.failing = front_ends, restarts, failing
         self.cold = list(range(EXECUTORS, EXECUTORS + starters))
         self.now, self.queue, self.count, self.made = 0.0, [], 0, 0
         self.at = {e: [] for e in self.cold}  # when calls arrived at each that starts
         self.fronts = [self.front_end(i, 0.0) for i in range(front_ends)]
-        weights = [self.chance.lognormvariate(0.0, 1.2) if unequal else 1.0 for _ in range(front_ends)]
+        weights = [self.random_source.lognormvariate(0.0, 1.2) if unequal else 1.0 for _ in range(front_ends)]
         rate = load * capacity * EXECUTORS / 1000.0 / sum(weights)
         for i, weight in enumerate(weights):
-            self.after(self.chance.expovariate(rate * weight), self.ask, i, rate * weight)
-            self.after(WARM_UP_MS - self.now + told_late * self.chance.random(), self.tell, i)
+            self.after(self.random_source.expovariate(rate * weight), self.ask, i, rate * weight)
+            self.after(WARM_UP_MS - self.now + told_late * self.random_source.random(), self.tell, i)
         if restarts:
             self.after(WARM_UP_MS + 2000.0, self.restart)
 
@@ -104,9 +104,9 @@
             self.fronts[i] = self.front_end(i, self.now)
 
     def ask(self, i, rate):
-        self.after(self.chance.expovariate(rate), self.ask, i, rate)
+        self.after(self.random_source.expovariate(rate), self.ask, i, rate)
         fe = self.fronts[i]
-        function = min(NAMES - 1, int(self.chance.paretovariate(1.1)) - 1)
+        function = min(NAMES - 1, int(self.random_source.paretovariate(1.1)) - 1)
         if function not in fe.known:
             fe.known.add(function)
             fe.function_named(self.now, function, f"f{function}", 100.0, 4, 300.0)
@@ -123,7 +123,7 @@
                 if d.executor in self.at:
                     self.at[d.executor].append(self.now)
                 t = fe.requests[d.request]
-                self.after(self.chance.uniform(40.0, 160.0), self.end, i, fe, d.request, t.sent - 1)
+                self.after(self.random_source.uniform(40.0, 160.0), self.end, i, fe, d.request, t.sent - 1)
         fe.released()
 
     def wake(self, i, fe):
@@ -134,7 +134,7 @@
     def end(self, i, fe, request, number):
         if self.fronts[i] is not fe or request not in fe.requests:
             return
-        failed = self.chance.random() < self.failing
+        failed = self.random_source.random() < self.failing
         fe.attempt_ended(
             self.now,
             request,
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -219,21 +219,21 @@
 @pytest.mark.parametrize("count", [WINDOW - 5, WINDOW + 5, 6 * WINDOW])
 def test_two_front_ends_agree_in_whatever_order_they_heard(count):
     """The same list after other histories: rings filled in other orders, with drops and returns between."""
-    chance = random.Random(count)
+    random_source = random.Random(count)
     members = executors(count)
     salts = [hash_of(f"function-{number}") for number in range(30)]
     churned = near_points(members, salts[:10], 3) + members[:20]
     rings, ranked = [], []
     for _ in range(3):
-        ring = ring_of(chance.sample(members, count))
+        ring = ring_of(random_source.sample(members, count))
         rings.append(ring)
         ranked.append([RankedExecutors(salt, ring) for salt in salts])
         for one in ranked[-1]:
             one.first(1)
         for _ in range(60):
-            member = chance.choice(churned)
+            member = random_source.choice(churned)
             (ring.remove if member in ring else ring.add)(member)
-            chance.choice(ranked[-1]).first(chance.choice((1, 5, WINDOW + 3)))
+            random_source.choice(ranked[-1]).first(random_source.choice((1, 5, WINDOW + 3)))
         for member in members:
             if member not in ring:
                 ring.add(member)
@@ -246,10 +246,10 @@
     members = [Member(f"twin-{number}", salt=99) for number in range(6)] + executors(10)
     for seed in range(20):
         ring = HashRing()
-        chance = random.Random(seed)
-        with window_of(chance.randint(1, 20)):
+        random_source = random.Random(seed)
+        with window_of(random_source.randint(1, 20)):
             ranked = RankedExecutors(hash_of("function"), ring)
-            for member in chance.sample(members, len(members)):
+            for member in random_source.sample(members, len(members)):
                 ring.add(member)
                 ranked.first(1)
             twins = [member.stable for member in ranked if member.salt == 99]
--- a/tests/test_ranking_front_end.py
+++ b/tests/test_ranking_front_end.py
@@ -76,8 +76,8 @@
 class Traffic:
     """One front end's requests: each attempt ends when the test says so; final answers are counted."""
 
-    def __init__(self, host, chance):
-        self.host, self.chance = host, chance
+    def __init__(self, host, random_source):
+        self.host, self.random_source = host, random_source
         self.out = []  # request, number, executor
         self.taken, self.finals = [], Counter()
         self.numbers = Counter()
@@ -114,16 +114,16 @@
     def end_some(self, most, silent=frozenset()):
         """Attempts end, well or badly; those at silent executors do not."""
         able = [attempt for attempt in self.out if attempt[2] not in silent]
-        for attempt in self.chance.sample(able, min(most, len(able))):
+        for attempt in self.random_source.sample(able, min(most, len(able))):
             self.out.remove(attempt)
-            self.end(attempt, self.chance.choice((Outcome.SUCCEEDED,) * 6 + tuple(Outcome)[1:8]))
+            self.end(attempt, self.random_source.choice((Outcome.SUCCEEDED,) * 6 + tuple(Outcome)[1:8]))
 
     def end(self, attempt, outcome):
         request, number, executor = attempt
         served = outcome is Outcome.SUCCEEDED and not self.finals[request]
         self.finals[request] += served
-        took = self.chance.uniform(50.0, 300.0)
-        warmth = self.chance.choice((Warmth.FOUND, Warmth.BEGAN))
+        took = self.random_source.uniform(50.0, 300.0)
+        warmth = self.random_source.choice((Warmth.FOUND, Warmth.BEGAN))
         self.host.end(request, outcome, number, executor, took, warmth, finished=served)
 
     def finish(self):
@@ -150,19 +150,21 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_the_window_changes_while_requests_wait_and_attempts_are_out(seed):
     """Executors of the functions' windows drain, go, come and restart in place; front ends hear late."""
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     registry = Registry()
     hosts = [front_end(registry, seed=number) for number in range(3)]
     traffic = [Traffic(host, random.Random(f"{seed}/{number}")) for number, host in enumerate(hosts)]
     late = [set() for _ in hosts]  # changed lines that a front end has not heard
     for step in range(120):
         for one in traffic:
-            for _ in range(chance.randrange(4)):
-                one.take(chance.randrange(12))
-        if chance.random() < 0.4:
-            fault = chance.choice(FAULTS)
-            numbers = set(chance.sample(range(EXECUTORS), 6))
-            for f in chance.sample(list(hosts[0].fe.functions.values()), len(hosts[0].fe.functions) // 6):
+            for _ in range(random_source.randrange(4)):
+                one.take(random_source.randrange(12))
+        if random_source.random() < 0.4:
+            fault = random_source.choice(FAULTS)
+            numbers = set(random_source.sample(range(EXECUTORS), 6))
+            for f in random_source.sample(
+                list(hosts[0].fe.functions.values()), len(hosts[0].fe.functions) // 6
+            ):
                 numbers.update(e.endpoint.executor for e in f.ranked(hosts[0].fe.fleet, 8))
             strike(registry, fault, numbers)
             if fault == "restart":
@@ -170,10 +172,10 @@
             for heard in late:
                 heard |= numbers
         for one, host, heard in zip(traffic, hosts, late):
-            if heard and chance.random() < 0.5:
-                registry.tell(host, sorted(heard) if chance.random() < 0.7 else None)
+            if heard and random_source.random() < 0.5:
+                registry.tell(host, sorted(heard) if random_source.random() < 0.7 else None)
                 heard.clear()
-            one.end_some(chance.randrange(5))
+            one.end_some(random_source.randrange(5))
             one.pull(40.0)
         if step % 20 == 0:
             for host in hosts:
@@ -242,8 +244,8 @@
     count, functions = 5 * WINDOW, 4000
     registry = Registry(count)
     one = front_end(registry, seed=1)
-    chance = random.Random(differing)
-    registry.set(chance.sample(range(count), differing), Stage.GONE)
+    random_source = random.Random(differing)
+    registry.set(random_source.sample(range(count), differing), Stage.GONE)
     other = front_end(registry, seed=2)
     homes = [first_homes(host, name_functions(host, functions)) for host in (one, other)]
     moved = sum(a != b for a, b in zip(*homes))
