--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -3,7 +3,7 @@
     watch           time to detect, to agree, false suspicions, bytes, CPU a member
     parts           service after seven in ten died: number told, parts, true number
     uneven          the same where four fifths of the requests enter by a fifth of the front ends
-    rain 0 1000     drawn days of overlapping troubles, judged
+    rain 0 1000     drawn days of overlapping faults, judged
     explore         every order of events of three members
 
 Each prints its baseline beside it, from the same run. Emulated figures but for CPU, which is this machine's.
@@ -302,7 +302,7 @@
 def explored() -> None:
     for kills, starts, stops, words in ((1, 1, 0, 0), (1, 1, 1, 0), (2, 1, 0, 0), (2, 2, 0, 0), (2, 2, 1, 1)):
         began = time.perf_counter()
-        found = explore(partners.beginning(kills, starts, stops, words), partners.moves, partners.breach)
+        found = explore(partners.beginning(kills, starts, stops, words), partners.moves, partners.violation)
         print(
             f"{kills} deaths, {starts} starts, {stops} stops, {words} words: {found.states} states, depth"
             f" {found.depth}, {'all' if found.whole else 'not all'}, {found.broken or 'no breach'},"
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -264,10 +264,10 @@
 
 def amplified(word: str, retries: int, seed: int, fronts: int, executors: int) -> dict:
     """What adds up: tries, attempts and work for each request that a client sends for the first time."""
-    load, troubles = AMPLIFIED[word]
+    load, faults = AMPLIFIED[word]
     found = day("busy", seed, fronts, executors)
     found["traffic"].update(rate=load * executors * 7.6 / 0.25, retries=retries)
-    found["troubles"] = troubles
+    found["troubles"] = faults
     found["day"]["length_s"] = 40 if word == "aftermath" else SECONDS
     played = EmulatedDay(found)
     lines = played.play()
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,8 +1,8 @@
 """Terms that all change or none: what a change takes, what it costs, what drawn plays and schedules find.
 
     calm            time from apply to adopted, words and bytes at rest; 9, 60, 300 front ends
-    storm 0 1000    drawn plays of overlapping troubles, judged; a third number: how many front ends
-    schedules 2     every schedule of so many troubles, on a small system, side by side
+    storm 0 1000    drawn plays of overlapping faults, judged; a third number: how many front ends
+    schedules 2     every schedule of so many faults, on a small system, side by side
     look            what the look at terms costs a request
     row 100         so many changes in a row under load, nine processes, words late now and then
     kills 500       keepers killed with SIGKILL at random moments under a row of changes, on sockets
@@ -93,21 +93,21 @@
 
 
 def _after(job: tuple[bytes, int, int, tuple]) -> quorum.Explored:
-    data, begun, left, trouble = job
+    data, begun, left, fault = job
     small = pickle.loads(data)
-    small.step(trouble)
+    small.step(fault)
     return quorum.explore(small, STEPS, left, begun=begun + 1)
 
 
 STEPS = 14  # of half a second each
 
 
-def schedules(troubles: int) -> None:
-    """One process for each first trouble; states that two of them share are counted in each."""
+def schedules(faults: int) -> None:
+    """One process for each first fault; states that two of them share are counted in each."""
     small, jobs = quorum.beginning(), []
     for step in range(STEPS):
         data = pickle.dumps(small, -1)
-        jobs += [(data, step, troubles - 1, trouble) for trouble in small.troubles()]
+        jobs += [(data, step, faults - 1, fault) for fault in small.faults()]
         small.step(None)
     began, states, runs, broken = time.perf_counter(), 0, 0, Counter()
     with ProcessPoolExecutor(5) as pool:
@@ -118,7 +118,7 @@
                 print(jobs[n - 1][1:], found.broken, found.way, flush=True)
             if n % 100 == 0 or n == len(jobs):
                 print(f"{n} of {len(jobs)} first troubles: {states} states, {runs} ways to the end,"
-                      f" {troubles} troubles, {STEPS} steps, {sum(broken.values())} breaches, "
+                      f" {faults} troubles, {STEPS} steps, {sum(broken.values())} breaches, "
                       f"{time.perf_counter() - began:.0f} s", flush=True)  # fmt: skip
 
 
--- a/benchmarks/validate.py
+++ b/benchmarks/validate.py
@@ -14,21 +14,21 @@
 from petrelway.settings.reading import evaluate
 
 FIGURES = ("service", "found_share", "p50_ms", "p90_ms", "p99_ms", "store_fetches")
-#        front ends, executors, requests/s, troubles of the bad day
+#        front ends, executors, requests/s, faults of the bad day
 DAYS = [(1, 8, 70, False), (3, 12, 120, False), (3, 12, 120, True)]
 
 
-def tree(fronts: int, executors: int, rate: float, troubles: bool, seconds: float, seed: int) -> dict:
+def tree(fronts: int, executors: int, rate: float, faults: bool, seconds: float, seed: int) -> dict:
     day = copy.deepcopy(evaluate(str(Path(__file__).parent.parent / "examples" / "bad-day.jsonnet")))
     day["day"].update(length_s=seconds, seed=seed)
     day["fleet"].update(fronts=fronts, executors=executors)
     day["traffic"]["rate"] = rate
     for tenant in day["customers"]:
         tenant["rate"] = rate * tenant["portion"]
-    day["troubles"] = [t for t in day["troubles"] if troubles]
-    for trouble in day["troubles"]:
-        trouble["at_s"] *= seconds / 60.0
-        trouble["len_s"] = trouble.get("len_s", 10.0) * seconds / 60.0
+    day["troubles"] = [t for t in day["troubles"] if faults]
+    for fault in day["troubles"]:
+        fault["at_s"] *= seconds / 60.0
+        fault["len_s"] = fault.get("len_s", 10.0) * seconds / 60.0
     return day
 
 
@@ -53,14 +53,14 @@
     parser.add_argument("--seconds", type=float, default=30.0)
     parser.add_argument("--seeds", type=int, default=3)
     asked = parser.parse_args()
-    for fronts, executors, rate, troubles in DAYS:
+    for fronts, executors, rate, faults in DAYS:
         sums: dict[str, dict[str, float]] = {"sockets": {}, "emulated": {}}
         for seed in range(1, asked.seeds + 1):
-            day = tree(fronts, executors, rate, troubles, asked.seconds, seed)
+            day = tree(fronts, executors, rate, faults, asked.seconds, seed)
             for name, found in (("sockets", on_sockets(day)), ("emulated", run(day, "petrelway"))):
                 for figure in (*FIGURES, "broken_rules"):
                     sums[name][figure] = sums[name].get(figure, 0.0) + found[figure] / asked.seeds
-        words = "with the bad day's troubles" if troubles else "quiet"
+        words = "with the bad day's troubles" if faults else "quiet"
         print(f"{fronts} front ends, {executors} executors, {rate}/s, {words}, {asked.seeds} seeds of "
               f"{asked.seconds:g} s", flush=True)  # fmt: skip
         for figure in (*FIGURES, "broken_rules"):
--- a/petrelway/capacity/size.py
+++ b/petrelway/capacity/size.py
@@ -7,7 +7,7 @@
 from msgspec import Meta
 
 from ..settings.front import Strict
-from ..settings.reading import Fault, SettingsError, evaluate, sections
+from ..settings.reading import SettingsProblem, SettingsError, evaluate, sections
 
 Count = Annotated[int, Meta(ge=1, le=1_000_000_000)]
 Times = Annotated[float, Meta(ge=0, le=1e9)]
@@ -98,21 +98,21 @@
     return size
 
 
-def _between(size: Size) -> list[Fault]:
+def _between(size: Size) -> list[SettingsProblem]:
     """What must hold between values that are each well formed."""
     fleet = size.fleet
     faults = []
     if fleet.zones < fleet.regions:
         allowed = f"at least fleet.regions = {fleet.regions}"
-        faults.append(Fault("fleet.zones", str(fleet.zones), allowed))
+        faults.append(SettingsProblem("fleet.zones", str(fleet.zones), allowed))
     if fleet.front_ends < fleet.zones:
         allowed = f"at least fleet.zones = {fleet.zones}"
-        faults.append(Fault("fleet.front_ends", str(fleet.front_ends), allowed))
+        faults.append(SettingsProblem("fleet.front_ends", str(fleet.front_ends), allowed))
     if fleet.policy_voters > fleet.front_ends:
         allowed = f"fleet.front_ends = {fleet.front_ends} at most"
-        faults.append(Fault("fleet.policy_voters", str(fleet.policy_voters), allowed))
+        faults.append(SettingsProblem("fleet.policy_voters", str(fleet.policy_voters), allowed))
     if size.instances.instances_a_machine > size.instances.count:
         found = str(size.instances.instances_a_machine)
         allowed = f"instances.count = {size.instances.count} at most"
-        faults.append(Fault("instances.instances_a_machine", found, allowed))
+        faults.append(SettingsProblem("instances.instances_a_machine", found, allowed))
     return faults
--- a/petrelway/commands/emulations.py
+++ b/petrelway/commands/emulations.py
@@ -203,7 +203,7 @@
 @click.option("--processes", type=click.IntRange(0, 512), default=0)
 @click.option("-o", "--output", type=click.Path(), required=True, help="The find, as a day file.")
 def hunt(day, tries, seed, policy, kinds, processes, output) -> None:
-    """Search days around DAY for a broken rule or the worst service; cut it down. Exit 1 on a breach."""
+    """Search days around DAY for a broken rule or the worst service; cut it down. Exit 1 on a violation."""
     import multiprocessing
     from concurrent.futures import ProcessPoolExecutor
 
--- a/petrelway/commands/standins.py
+++ b/petrelway/commands/standins.py
@@ -92,7 +92,7 @@
 def network_fault(
     folder: str, kind: str, some: str, others: str, len_s: float, size: float, extra: float
 ) -> None:
-    """Put a trouble between front ends of the rehearsal in FOLDER while it plays, or clear all."""
+    """Put a fault between front ends of the rehearsal in FOLDER while it plays, or clear all."""
     from ..standin.fault_proxy import ask
 
     try:
--- a/petrelway/emulator/day.py
+++ b/petrelway/emulator/day.py
@@ -14,7 +14,7 @@
 from ..rehearsal.inmemory import Quiet
 from ..settings.days import check_day
 from ..settings.front import check_front_end
-from ..settings.reading import Fault, SettingsError
+from ..settings.reading import SettingsProblem, SettingsError
 from ..standin.life import Life
 from ..standin.machine import Marks
 from ..standin.memory import Process, World
@@ -80,7 +80,9 @@
         """Raises SettingsError for a day that is none."""
         self.day = day = check_day("(emulated)", tree)
         if other_ways(day):
-            fault = Fault("fleet_troubles", "a way to roster or executors", "members; on sockets only")
+            fault = SettingsProblem(
+                "fleet_troubles", "a way to roster or executors", "members; on sockets only"
+            )
             raise SettingsError("(emulated)", [fault])
         self.tree, self.kind, self.log = tree, kind, Quiet()
         self.sim = sim = sim or World()
@@ -148,7 +150,7 @@
     # -- making
 
     def _make_sea(self, seed: int) -> Sea:
-        """The front ends know each other, over the day's own troubles between them."""
+        """The front ends know each other, over the day's own faults between them."""
         ways = FaultSchedule(fault_random_source(seed))
         for fault in network_faults(self.day, self.epoch_ms):
             ways.add(fault)
@@ -235,7 +237,7 @@
                 self._start(h.number)
             return
         if front is None:
-            return  # it has been killed by another trouble
+            return  # it has been killed by another fault
         self.tape.note(h.what, fe=f"front-{h.number}")
         if h.what == "leave":
             del self.fronts[h.number]  # no client comes any more
--- a/petrelway/emulator/experiment.py
+++ b/petrelway/emulator/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: a grid or a random sweep over days, sizes, troubles, policies and seeds; resumable."""
+"""Experiments: a grid or a random sweep over days, sizes, faults, policies and seeds; resumable."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ..rehearsal.baselines import POLICIES
 from ..settings.days import check_day
 from ..settings.front import Name, Strict
-from ..settings.reading import Fault, SettingsError, evaluate, sections
+from ..settings.reading import SettingsProblem, SettingsError, evaluate, sections
 from .results import Results, load
 from .runs import made_by, run
 
@@ -73,7 +73,7 @@
         self.seeds, self.sample = found["seeds"], found["sample"]
         self.fingerprint = hashlib.sha256(json.dumps(tree, sort_keys=True).encode()).hexdigest()[:16]
         faults = [
-            Fault(f"policies[{i}]", repr(name), "one of " + ", ".join(POLICIES))
+            SettingsProblem(f"policies[{i}]", repr(name), "one of " + ", ".join(POLICIES))
             for i, name in enumerate(self.policies)
             if name not in POLICIES
         ]
@@ -81,16 +81,20 @@
             ranged = axis.high > axis.low
             if sum((bool(axis.values), bool(axis.sets), ranged)) != 1 or (not axis.sets and not axis.path):
                 faults.append(
-                    Fault(
+                    SettingsProblem(
                         f"axes.{name}", "another mixture", "path with values, path with low < high, or sets"
                     )
                 )
             elif ranged and not self.sample:
-                faults.append(Fault(f"axes.{name}", "a range", "values or sets, unless sample is given"))
+                faults.append(
+                    SettingsProblem(f"axes.{name}", "a range", "values or sets, unless sample is given")
+                )
             elif ranged and axis.log and axis.low <= 0.0:
-                faults.append(Fault(f"axes.{name}.low", f"{axis.low:g}", "more than 0 where log is true"))
+                faults.append(
+                    SettingsProblem(f"axes.{name}.low", f"{axis.low:g}", "more than 0 where log is true")
+                )
         if not faults and self.size() > RUNS_BOUND:
-            faults.append(Fault("axes", f"{self.size()} runs", f"{RUNS_BOUND} at most"))
+            faults.append(SettingsProblem("axes", f"{self.size()} runs", f"{RUNS_BOUND} at most"))
         if faults:
             raise SettingsError(file, faults)
         for point in self.points():
@@ -169,7 +173,9 @@
         else:
             at[last] = value
     except (ValueError, IndexError, TypeError, AttributeError) as error:
-        raise SettingsError(file, [Fault(path, "no such place", "a path of the base day")]) from error
+        raise SettingsError(
+            file, [SettingsProblem(path, "no such place", "a path of the base day")]
+        ) from error
 
 
 def read_experiment(file: str) -> Experiment:
--- a/petrelway/emulator/hunt.py
+++ b/petrelway/emulator/hunt.py
@@ -1,7 +1,7 @@
 """Hunts for days on which a rule is broken or service is worst, and cuts a find down. Pure but for `play`.
 
 Own search rather than hypothesis: one try takes seconds and is played on all cores, the draw is of a dozen
-numbers whose ranges we know, and cutting down must keep the same breach, not any failure.
+numbers whose ranges we know, and cutting down must keep the same violation, not any failure.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from ..settings.days import KINDS
 
-MOST_TROUBLES = 5
+MOST_FAULTS = 5
 SIZES: dict[str, tuple[float, float, float]] = {  # kind -> low and high size, and extra
     "slow": (2, 12, 0),
     "fast_errors": (0.1, 1, 0),
@@ -48,15 +48,15 @@
 
 
 def drawn(base: dict[str, Any], random_source: random.Random, kinds: list[str]) -> dict[str, Any]:
-    """The base day with another seed and up to five troubles of the kinds, any overlap."""
+    """The base day with another seed and up to five faults of the kinds, any overlap."""
     tree = copy.deepcopy(base)
     length = tree["day"]["length_s"]
     tree["day"]["seed"] = random_source.randrange(1, 1 << 20)
     tree["troubles"] = []
-    for _ in range(random_source.randint(1, MOST_TROUBLES)):
+    for _ in range(random_source.randint(1, MOST_FAULTS)):
         kind = random_source.choice(kinds)
         low, high, extra = SIZES.get(kind, (1.0, 1.0, 0.0))
-        trouble = {
+        fault = {
             "kind": kind,
             "at_s": round(length * random_source.uniform(0.1, 0.7), 2),
             "len_s": round(length * random_source.uniform(0.05, 0.4), 2),
@@ -65,10 +65,10 @@
             "which": random_source.randrange(4),
         }
         if extra:
-            trouble["extra"] = extra
+            fault["extra"] = extra
         if kind == "zone_loss" and random_source.random() < 0.5:
-            trouble["how"] = "silent"
-        tree["troubles"].append(trouble)
+            fault["how"] = "silent"
+        tree["troubles"].append(fault)
     return tree
 
 
@@ -77,23 +77,23 @@
 
     Danger: a smaller fleet under the same traffic is served worse for a reason that is not the find's.
     """
-    troubles = tree["troubles"]
-    for i in range(len(troubles)):
-        yield {**tree, "troubles": troubles[:i] + troubles[i + 1 :]}
+    faults = tree["troubles"]
+    for i in range(len(faults)):
+        yield {**tree, "troubles": faults[:i] + faults[i + 1 :]}
     fleet = tree["fleet"]
     for name, least in (("fronts", 1), ("executors", len(fleet["halls"]))):
         if smaller and fleet.get(name, 3) > least:
             yield {**tree, "fleet": {**fleet, name: max(least, fleet.get(name, 3) // 2)}}
     length = tree["day"]["length_s"]
-    last = max((t["at_s"] + t.get("len_s", 10.0) for t in troubles), default=0.0)
+    last = max((t["at_s"] + t.get("len_s", 10.0) for t in faults), default=0.0)
     if last + 1.0 < 0.9 * length:
         yield {**tree, "day": {**tree["day"], "length_s": round(last + 1.0, 2)}}
-    for i, trouble in enumerate(troubles):
+    for i, fault in enumerate(faults):
         for name in ("len_s", "part"):
-            value = trouble.get(name, 0.0)
+            value = fault.get(name, 0.0)
             if value > 0.2:
-                less = {**trouble, name: round(value / 2, 3)}
-                yield {**tree, "troubles": [*troubles[:i], less, *troubles[i + 1 :]]}
+                less = {**fault, name: round(value / 2, 3)}
+                yield {**tree, "troubles": [*faults[:i], less, *faults[i + 1 :]]}
     if smaller and tree["traffic"]["rate"] > 20:
         yield {**tree, "traffic": {**tree["traffic"], "rate": tree["traffic"]["rate"] / 2}}
 
--- a/petrelway/emulator/partners.py
+++ b/petrelway/emulator/partners.py
@@ -65,7 +65,7 @@
     return System((one,) * SIZE, frozenset(), kills, starts, stops, words)
 
 
-def breach(system: System) -> str:
+def violation(system: System) -> str:
     """The one statement: the parts in use at this moment come to 1 at most."""
     total = sum(_in_use(one) for one in system.ones if one.doing == RUNS)
     return f"parts in use come to {total:.3f}" if total > 1.0 + 1e-9 else ""
--- a/petrelway/emulator/quorum.py
+++ b/petrelway/emulator/quorum.py
@@ -1,9 +1,9 @@
 """A small system for the explorer: keepers and members that change their terms, with every schedule of a few
-troubles.
+faults.
 
 Each process is the program's own `Party`; only what lies between the processes, the disks and the moments are
 the explorer's. Time goes in steps; in a step every process that runs takes a turn, and whatever is said is
-heard at once, but for the troubles: a trouble begins at a step, and each costs one of a few. After every turn
+heard at once, but for the faults: a fault begins at a step, and each costs one of a few. After every turn
 whoever took it is asked under which terms it would take a request now."""
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 WARM_STEPS = 6
 
 
-class Breach(Exception):
+class Violation(Exception):
     """What was broken."""
 
 
@@ -45,7 +45,7 @@
         self.disks = {i: Kept() for i in range(keepers)}
         self.at_ms, self.steps, self.tokens = 1e6, 0, 0
         self.stopped: dict[int, int] = {}  # until this step
-        self.closed: dict[tuple[str, int], int] = {}  # kind of trouble, whom -> until this step
+        self.closed: dict[tuple[str, int], int] = {}  # kind of fault, whom -> until this step
         self.dead: dict[int, int] = {}  # started again at this step
         self.dies: tuple[int, int, str] | None = None  # who, at which sync from now, before or after it
         self.late: deque[tuple[int, int, int, Any]] = deque()
@@ -127,7 +127,7 @@
             i, to, token, word = self.turns.popleft()
             said += 1
             if said > SAID_BOUND:
-                raise Breach("they talk for ever")
+                raise Violation("they talk for ever")
             if to in self.stopped:
                 self.late.append((i, to, token, word))
             elif to in self.ones:
@@ -146,20 +146,20 @@
         if version not in self.firsts:
             self.firsts[version] = self.at_ms, told
         elif self.firsts[version][1] != told:
-            raise Breach(f"version {version} is two documents")
+            raise Violation(f"version {version} is two documents")
         for later, (at, _) in self.firsts.items():
             if later > version and self.at_ms - at > APART_MS:
-                raise Breach(f"{self.names[i]} takes under version {version} {self.at_ms - at:.0f} ms after"
+                raise Violation(f"{self.names[i]} takes under version {version} {self.at_ms - at:.0f} ms after"
                              f" version {later} began")  # fmt: skip
 
     # -- a step
 
-    def step(self, trouble: tuple[Any, ...] | None) -> None:
-        """Raises Breach."""
+    def step(self, fault: tuple[Any, ...] | None) -> None:
+        """Raises Violation."""
         self.steps += 1
         self.at_ms += STEP_MS
-        if trouble is not None:
-            self._begin(*trouble)
+        if fault is not None:
+            self._begin(*fault)
         for i in sorted(self.ones):
             self.take(i)  # first of all, before it looks at anything else
         for i in [i for i, until in self.dead.items() if until <= self.steps]:
@@ -215,19 +215,19 @@
         leaders = [p.keeper for p in self.ones.values() if p.keeper and p.keeper.role is Role.LEADS]
         terms = [k.term for k in leaders]
         if len(set(terms)) != len(terms):
-            raise Breach(f"two leaders in one term: {terms}")
+            raise Violation(f"two leaders in one term: {terms}")
         ready = [k for k in leaders if k.ready()]
         if ready:
             ledger = max(ready, key=lambda k: k.term).ledger
             for id, version in self.adopted.items():
                 end = ledger.ended(id)
                 if end is None or end.version != version:
-                    raise Breach(f"{id} was said to be version {version}, and is {end}")
+                    raise Violation(f"{id} was said to be version {version}, and is {end}")
             for v in ledger.versions[1:]:
                 if v.base != v.number - 1:
-                    raise Breach(f"version {v.number} was made from version {v.base}")
+                    raise Violation(f"version {v.number} was made from version {v.base}")
 
-    def troubles(self) -> Iterable[tuple[Any, ...]]:
+    def faults(self) -> Iterable[tuple[Any, ...]]:
         """All that could begin at the next step."""
         for i in sorted(self.ones):
             keeps = i < self.keepers
@@ -269,16 +269,16 @@
 def explore(
     start: Small,
     steps: int,
-    troubles: int,
+    faults: int,
     bound: int = 10_000_000,
-    wanted: Callable[[tuple[Any, ...]], bool] = lambda trouble: True,
+    wanted: Callable[[tuple[Any, ...]], bool] = lambda fault: True,
     begun: int = 0,
 ) -> Explored:
-    """Every schedule of up to so many troubles, each at any of the steps; states that were seen with as many
-    troubles left are not looked at again. Danger: whole states would fill the memory; digests are kept.
+    """Every schedule of up to so many faults, each at any of the steps; states that were seen with as many
+    faults left are not looked at again. Danger: whole states would fill the memory; digests are kept.
     `begun`: so many of the steps are over in `start`."""
     seen: dict[bytes, int] = {}
-    stack = [(pickle.dumps(start, -1), troubles, ())]
+    stack = [(pickle.dumps(start, -1), faults, ())]
     runs = deepest = 0
     while stack:
         data, left, way = stack.pop()
@@ -289,15 +289,15 @@
             continue
         some = [None]
         if left:
-            some += [t for t in small.troubles() if wanted(t)]
-        for number, trouble in enumerate(some):
+            some += [t for t in small.faults() if wanted(t)]
+        for number, fault in enumerate(some):
             following = pickle.loads(data) if number < len(some) - 1 else small
-            now_left = left - (trouble is not None)
-            now_way = (*way, (small.steps - start.steps, *trouble)) if trouble else way
+            now_left = left - (fault is not None)
+            now_way = (*way, (small.steps - start.steps, *fault)) if fault else way
             try:
-                following.step(trouble)
-            except Breach as breach:
-                return Explored(len(seen), runs, deepest, str(breach), [str(x) for x in now_way])
+                following.step(fault)
+            except Violation as violation:
+                return Explored(len(seen), runs, deepest, str(violation), [str(x) for x in now_way])
             after_ = pickle.dumps(following, -1)
             key = blake2b(after_, digest_size=12).digest()
             if seen.get(key, -1) >= now_left:
--- a/petrelway/emulator/rain.py
+++ b/petrelway/emulator/rain.py
@@ -1,20 +1,20 @@
-"""Days of overlapping troubles between front ends, drawn from a seed."""
+"""Days of overlapping faults between front ends, drawn from a seed."""
 
 from __future__ import annotations
 
 import random
 from typing import Any
 
-FIRST_S, LEAST, MOST = 7.0, 3, 6  # troubles begin when parts are in use, and so many come
+FIRST_S, LEAST, MOST = 7.0, 3, 6  # faults begin when parts are in use, and so many come
 
 
 def draw(tree: dict[str, Any], seed: int) -> dict[str, Any]:
-    """The day with that seed and three to six troubles of its front ends; the last third of it is calm."""
+    """The day with that seed and three to six faults of its front ends; the last third of it is calm."""
     random_source = random.Random(f"{seed}/rain")
     size, length = tree["fleet"]["fronts"], tree["day"]["length_s"]
-    troubles = [_one(random_source, size, length) for _ in range(random_source.randint(LEAST, MOST))]
+    faults = [_one(random_source, size, length) for _ in range(random_source.randint(LEAST, MOST))]
     fleet = {**tree["fleet"], "members": True}
-    return {**tree, "day": {**tree["day"], "seed": seed}, "fleet": fleet, "fleet_troubles": troubles}
+    return {**tree, "day": {**tree["day"], "seed": seed}, "fleet": fleet, "fleet_troubles": faults}
 
 
 def _one(random_source: random.Random, size: int, length_s: float) -> dict[str, Any]:
--- a/petrelway/emulator/storm.py
+++ b/petrelway/emulator/storm.py
@@ -1,4 +1,4 @@
-"""Drawn troubles of front ends that change their terms: whole plays from a seed, judged."""
+"""Drawn faults of front ends that change their terms: whole plays from a seed, judged."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from collections import Counter
 from typing import NamedTuple
 
-from ..rules.policy import Breach, judge
+from ..rules.policy import Violation, judge
 from ..standin.memory import World
 from ..standin.fault_schedule import FaultSchedule, NetworkFault, fault_random_source
 from .council import Council
 
 STEP_S = 0.25
-QUIET_S = 40.0  # after the last trouble: by then a change has to go through
+QUIET_S = 40.0  # after the last fault: by then a change has to go through
 KILLS = (
     "kill",
     "kill keeper",
@@ -29,11 +29,11 @@
 
 class Played(NamedTuple):
     seed: int
-    breaches: list[Breach]
+    breaches: list[Violation]
     adopted: int
     ended: int
     states: Counter[str]
-    back: bool  # a change went through after the last trouble
+    back: bool  # a change went through after the last fault
     turned_away: float  # share of the requests
 
 
@@ -47,7 +47,7 @@
 
 
 class Storm:
-    """One play: requests and changes all the while, troubles for `length_s`, then quiet."""
+    """One play: requests and changes all the while, faults for `length_s`, then quiet."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         every_s: float = 0.1,
         hard: float = 1.0,
     ) -> None:
-        """`hard`: how often troubles begin, against twice in three seconds."""
+        """`hard`: how often faults begin, against twice in three seconds."""
         self.random_source = random.Random(f"{seed}/storm")
         self.council = Council(World(), FaultSchedule(fault_random_source(seed)), size, keepers, seed,
                                every_s=every_s)  # fmt: skip
@@ -104,7 +104,7 @@
             self.later.remove(each)
             self._happen(*each[1:])
         if troubled and random_source.random() < self.hard * STEP_S / 1.5:
-            self._trouble(now)
+            self._fault(now)
         if len(self.wishes) < 2 and random_source.random() < STEP_S / 4.0:
             self.made += 1
             base = self._holds() if random_source.random() < 0.9 else max(0, self._holds() - 1)
@@ -134,7 +134,7 @@
         elif what == "go on" and number in council.ones:
             council.ones[number].process.thaw()
 
-    def _trouble(self, now: float) -> None:
+    def _fault(self, now: float) -> None:
         council, random_source = self.council, self.random_source
         kind = random_source.choice(KILLS)
         keeps = "keeper" in kind or kind == "die at a sync"
@@ -178,7 +178,7 @@
         )
 
     def _quiet(self) -> None:
-        """All troubles are over, all are there again."""
+        """All faults are over, all are there again."""
         council = self.council
         council.faults.clear(council.now())
         council.dying.clear()
--- a/petrelway/load/plan.py
+++ b/petrelway/load/plan.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from ..settings.front import Ms, Name, Some, Strict
-from ..settings.reading import Fault, SettingsError, evaluate, sections
+from ..settings.reading import SettingsProblem, SettingsError, evaluate, sections
 from .arrivals import Due, Rate, drawn, from_trace
 
 
@@ -71,9 +71,11 @@
         self.attributes: dict[str, str] = found.get("attributes", {})
         faults = []
         if bool(self.told.trace) == bool(self.told.rate or self.told.steps):
-            faults.append(Fault("arrivals", "rate and trace, or neither", "a rate or steps, or a trace"))
+            faults.append(
+                SettingsProblem("arrivals", "rate and trace, or neither", "a rate or steps, or a trace")
+            )
         if not self.told.trace and not self.functions:
-            faults.append(Fault("functions", "none", "at least one, unless a trace names them"))
+            faults.append(SettingsProblem("functions", "none", "at least one, unless a trace names them"))
         if faults:
             raise SettingsError(file, faults)
 
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..settings.front import SHAPES, Strict, CapabilitySettings, between
-from ..settings.reading import Fault, SettingsError, evaluate, sections
+from ..settings.reading import SettingsProblem, SettingsError, evaluate, sections
 
 TERMS = ("tariffs", "customers", "permits", "functions")
 READ_DOCUMENTS_KEPT = 4  # answers kept of `stops`: a process asks about the present document and the next one
@@ -78,9 +78,11 @@
     try:
         tree = json.loads(document)
     except ValueError as problem:
-        raise SettingsError("policy", [Fault("(document)", str(problem), "JSON")]) from problem
+        raise SettingsError("policy", [SettingsProblem("(document)", str(problem), "JSON")]) from problem
     if not isinstance(tree, dict):
-        raise SettingsError("policy", [Fault("(document)", type(tree).__name__, "an object of sections")])
+        raise SettingsError(
+            "policy", [SettingsProblem("(document)", type(tree).__name__, "an object of sections")]
+        )
     return check("policy", tree, settings)
 
 
--- a/petrelway/rehearsal/benchday.py
+++ b/petrelway/rehearsal/benchday.py
@@ -1,7 +1,7 @@
 """Reads a bench's day file and makes a day of ours of it, scaled to this machine; says what it leaves out.
 
 The file is JSON; its times are microseconds. Read are fleet, zones, clients, request classes, tenants, loads
-and troubles.
+and faults.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..settings.reading import FILE_BOUND, Fault, SettingsError
+from ..settings.reading import FILE_BOUND, SettingsProblem, SettingsError
 
 RATE_BOUND = 400.0  # requests a second that a rehearsal on one machine plays at the most
 FRONTS_BOUND, EXECUTORS_BOUND = 8, 60
@@ -39,7 +39,7 @@
             return Tree(self.file, self.value[key], path)
         except (KeyError, IndexError, TypeError) as error:
             raise SettingsError(
-                self.file, [Fault(path, "nothing", "a bench's day file, which has it")]
+                self.file, [SettingsProblem(path, "nothing", "a bench's day file, which has it")]
             ) from error
 
     def get(self, key: str, default: Any) -> Any:
@@ -48,7 +48,9 @@
 
     def number(self) -> float:
         if isinstance(self.value, bool) or not isinstance(self.value, (int, float)):
-            raise SettingsError(self.file, [Fault(self.path, json.dumps(self.value)[:60], "a number")])
+            raise SettingsError(
+                self.file, [SettingsProblem(self.path, json.dumps(self.value)[:60], "a number")]
+            )
         return float(self.value)
 
     def ms(self) -> float:
@@ -56,28 +58,32 @@
 
     def each(self) -> list[Tree]:
         if not isinstance(self.value, list):
-            raise SettingsError(self.file, [Fault(self.path, type(self.value).__name__, "a list")])
+            raise SettingsError(self.file, [SettingsProblem(self.path, type(self.value).__name__, "a list")])
         return [self[i] for i in range(len(self.value))]
 
 
 def convert(file: str, scale: float) -> tuple[dict[str, Any], list[str]]:
     """The tree of a day for `settings.days.check_day`, and what was left out. Raises SettingsError."""
     if not 0.0 < scale <= 1.0:
-        raise SettingsError(file, [Fault("--scale", f"{scale:g}", "more than 0, 1 at most")])
+        raise SettingsError(file, [SettingsProblem("--scale", f"{scale:g}", "more than 0, 1 at most")])
     try:
         raw = Path(file).read_bytes()
         if len(raw) > FILE_BOUND:
-            raise SettingsError(file, [Fault("(file)", f"{len(raw)} bytes", f"{FILE_BOUND} at most")])
+            raise SettingsError(
+                file, [SettingsProblem("(file)", f"{len(raw)} bytes", f"{FILE_BOUND} at most")]
+            )
         day = Tree(file, json.loads(raw))
     except OSError as error:
         raise SettingsError(
-            file, [Fault("(file)", error.strerror or "", "a file that can be read")]
+            file, [SettingsProblem("(file)", error.strerror or "", "a file that can be read")]
         ) from error
     except ValueError as error:
-        raise SettingsError(file, [Fault("(file)", f"no JSON ({error})", "a bench's day file")]) from error
+        raise SettingsError(
+            file, [SettingsProblem("(file)", f"no JSON ({error})", "a bench's day file")]
+        ) from error
     left_out = list(ALWAYS_LEFT_OUT)
     tree = _fleet(day, scale, left_out)
-    tree["troubles"] = _troubles(day, tree["fleet"]["executors"], tree["fleet"]["fronts"], left_out)
+    tree["troubles"] = _faults(day, tree["fleet"]["executors"], tree["fleet"]["fronts"], left_out)
     return tree, left_out
 
 
@@ -114,7 +120,7 @@
         idempotency = EFFECTS.get(c["effect"].value)
         if idempotency is None:
             raise SettingsError(
-                c.file, [Fault(c["effect"].path, repr(c["effect"].value), ", ".join(EFFECTS))]
+                c.file, [SettingsProblem(c["effect"].path, repr(c["effect"].value), ", ".join(EFFECTS))]
             )
         request_classes.append(
             {
@@ -237,7 +243,7 @@
     }
 
 
-def _troubles(day: Tree, executors: int, fronts: int, left_out: list[str]) -> list[dict[str, Any]]:
+def _faults(day: Tree, executors: int, fronts: int, left_out: list[str]) -> list[dict[str, Any]]:
     running = sum(1 for s in day["servers"].each() if s["up"].value)
     balancers = len(day["balancers"].each())
     length = min(LENGTH_BOUND_S, day["length"].number() / 1e6)
--- a/petrelway/rehearsal/realworkers.py
+++ b/petrelway/rehearsal/realworkers.py
@@ -32,7 +32,7 @@
 
 
 def unplayable(day: dict[str, Any]) -> list[str]:
-    """Kinds of trouble of a day that real workers can't be given."""
+    """Kinds of fault of a day that real workers can't be given."""
     return sorted({t.kind for t in day["troubles"]} - PLAYED)
 
 
--- a/petrelway/rules/checker.py
+++ b/petrelway/rules/checker.py
@@ -17,8 +17,8 @@
 INFORMED = 2 / 3  # of the work that pushed a cold executor over came from front ends told of its start
 
 
-class Fault(NamedTuple):
-    """One breach: rule 1 to 5, when, of which request or executor, in words, and the lines that show it."""
+class RuleViolation(NamedTuple):
+    """One violation: rule 1 to 5, when, of which request or executor, in words, and the lines that show it."""
 
     rule: int
     at_ms: float
@@ -160,7 +160,7 @@
     return line.get("sent", line["t"])
 
 
-def judge(lines: Iterable[dict[str, Any]], told: Figures) -> list[Fault]:
+def judge(lines: Iterable[dict[str, Any]], told: Figures) -> list[RuleViolation]:
     """All breaches in a record, by time; an empty list if the rules were kept."""
     book = Book(lines)
     faults = [
@@ -178,21 +178,23 @@
     return f"{mark.replace(chr(10), '#')} try {turn} at {front}"
 
 
-def _answers(book: Book, told: Figures) -> Iterable[Fault]:
+def _answers(book: Book, told: Figures) -> Iterable[RuleViolation]:
     """Rule 1: one final answer in time for each request taken, nothing sent after."""
     for key, ask in book.asks.items():
         end = book.ends.get(key)
         due = ask["t"] + ask["left"] + told.grace_ms
         if end is None:
             if book.last_ms > due and not book.excused(key[2], ask["t"], due):
-                yield Fault(1, due, _name(key), "no answer and no end of it at the client", [ask])
+                yield RuleViolation(1, due, _name(key), "no answer and no end of it at the client", [ask])
             continue
         if end["k"] in ("unanswered", "lost"):
             what = "never answered" if end["k"] == "unanswered" else "its connection ended without an answer"
             if not book.excused(key[2], ask["t"], end["t"] + told.slack_ms):
-                yield Fault(1, end["t"], _name(key), what, [ask, end])
+                yield RuleViolation(1, end["t"], _name(key), what, [ask, end])
         elif end["k"] == "answer" and end["t"] > due and not book.excused(key[2], ask["t"], end["t"]):
-            yield Fault(1, end["t"], _name(key), f"answered {end['t'] - due:.0f} ms too late", [ask, end])
+            yield RuleViolation(
+                1, end["t"], _name(key), f"answered {end['t'] - due:.0f} ms too late", [ask, end]
+            )
         if end["k"] in ("answer", "gone"):
             for line in book.by_ask.get(key, ()):
                 if (
@@ -200,7 +202,7 @@
                     and not book.late_by_itself(line)
                     and not book.excused(key[2], end["t"], sent(line))
                 ):
-                    yield Fault(
+                    yield RuleViolation(
                         1,
                         line["t"],
                         _name(key),
@@ -210,7 +212,7 @@
                     )
 
 
-def _effects(book: Book, told: Figures) -> Iterable[Fault]:
+def _effects(book: Book, told: Figures) -> Iterable[RuleViolation]:
     """Rule 2: no effect twice, and no reject that promises too much."""
     for request, some in book.received.items():
         request_class = told.request_classes[some[0]["f"]]
@@ -224,7 +226,7 @@
                 if proved <= sent(later):
                     continue
                 if request_class.idempotency == "one-shot":
-                    yield Fault(
+                    yield RuleViolation(
                         2,
                         later["t"],
                         _name(key),
@@ -233,7 +235,7 @@
                         [earlier, later],
                     )
                 elif not _same_group(book, request_class.scope, earlier["ex"], later["ex"]):
-                    yield Fault(
+                    yield RuleViolation(
                         2,
                         later["t"],
                         _name(key),
@@ -244,7 +246,7 @@
                 elif sent(later) > earlier[
                     "t"
                 ] + request_class.window_ms + told.slack_ms and not book.late_by_itself(later):
-                    yield Fault(
+                    yield RuleViolation(
                         2,
                         later["t"],
                         _name(key),
@@ -261,7 +263,7 @@
         ):
             for line in some:
                 if book.proofs.get((request, line["n"]), float("inf")) > end["t"]:
-                    yield Fault(
+                    yield RuleViolation(
                         2,
                         end["t"],
                         _name(key),
@@ -277,7 +279,7 @@
     return book.ups[one][0][scope] == book.ups[other][0][scope]
 
 
-def _drains(book: Book, told: Figures) -> Iterable[Fault]:
+def _drains(book: Book, told: Figures) -> Iterable[RuleViolation]:
     """Rule 3: past the grace nothing new to an executor told to drain or be gone."""
     ended: dict[tuple[str, str], dict[str, list[tuple[float, float]]]] = {}
     for who, lists in book.told.items():
@@ -304,7 +306,7 @@
             past = sent(line) - begin - told.drain_grace_ms
             if past > told.slack_ms and sent(line) < end and not book.late_by_itself(line):
                 what = "an order to load" if line["k"] == "order" else f"transmission {line['n']}"
-                yield Fault(
+                yield RuleViolation(
                     3,
                     line["t"],
                     f"{line['ex']} from {line['fe']}",
@@ -313,7 +315,7 @@
                 )
 
 
-def _cold(book: Book, told: Figures) -> Iterable[Fault]:
+def _cold(book: Book, told: Figures) -> Iterable[RuleViolation]:
     """Rule 4: what all front ends together send a cold executor stays under its multiple."""
     if told.cold_multiple <= 0.0 or told.cold_span_ms <= 0.0:
         return
@@ -335,7 +337,7 @@
                 )
 
 
-def _push(up: dict, sends: list[dict], informed: dict, told: Figures, book: Book) -> Iterable[Fault]:
+def _push(up: dict, sends: list[dict], informed: dict, told: Figures, book: Book) -> Iterable[RuleViolation]:
     begin, total, knowing = 0, 0.0, 0.0
     works = []
     fell = [line for line in book.fell if line["ex"] == up["ex"] and line["p"] == up["p"]]
@@ -353,7 +355,7 @@
         present = up["cap"] * (told.cold_share + (1.0 - told.cold_share) * max(0.0, age) / told.cold_warm_ms)
         room = told.cold_multiple * present * told.cold_span_ms
         if total > room and knowing >= INFORMED * total:
-            yield Fault(
+            yield RuleViolation(
                 4,
                 line["t"],
                 up["ex"],
@@ -364,7 +366,7 @@
             return
 
 
-def _ration(book: Book, told: Figures) -> Iterable[Fault]:
+def _ration(book: Book, told: Figures) -> Iterable[RuleViolation]:
     """Rule 5: orders to load within the window stay under the few plus the share of requests taken."""
     if told.ration_window_ms <= 0.0:
         return
@@ -385,7 +387,7 @@
             count = i + 1 - bisect_right(times, t - told.ration_window_ms + 2 * slack)
             some = bisect_right(asked, t + slack) - bisect_left(asked, t - told.ration_window_ms - slack)
             if count > told.ration_free + told.ration_share * some:
-                yield Fault(
+                yield RuleViolation(
                     5,
                     t,
                     front,
--- a/petrelway/rules/explorer.py
+++ b/petrelway/rules/explorer.py
@@ -9,7 +9,7 @@
 
 
 class Explored(NamedTuple):
-    """How many states were seen, how deep; `whole` if there are no more; the way to a breach, if one was
+    """How many states were seen, how deep; `whole` if there are no more; the way to a violation, if one was
     found."""
 
     states: int
@@ -22,11 +22,11 @@
 def explore(
     start: Hashable,
     moves: Callable[[Hashable], Iterable[tuple[str, Hashable]]],
-    breach: Callable[[Hashable], str],
+    violation: Callable[[Hashable], str],
     depth: int = 1000,
     bound: int = STATES_BOUND,
 ) -> Explored:
-    """Breadth first: the way to a breach is a shortest one. `breach` gives what is broken, or nothing.
+    """Breadth first: the way to a violation is a shortest one. `violation` gives what is broken, or nothing.
 
     >>> steps = lambda n: [("one", n + 1), ("two", n + 2)]
     >>> explore(0, steps, lambda n: "seven" if n == 7 else "", 10).way
@@ -45,7 +45,7 @@
                 if after in came:
                     continue
                 came[after] = state, name
-                if what := breach(after):
+                if what := violation(after):
                     return Explored(len(came), deep + 1, False, what, _way(came, after))
                 following.append(after)
                 if len(came) >= bound:
--- a/petrelway/rules/fleet.py
+++ b/petrelway/rules/fleet.py
@@ -19,7 +19,7 @@
 ROUNDING = 1e-6
 
 
-class Breach(NamedTuple):
+class Violation(NamedTuple):
     """Which statement, when, who, in words, and the lines that show it."""
 
     statement: str
@@ -62,11 +62,11 @@
 class Cuts:
     """The day's own word on who could not reach whom, and when the ways were worse than membership bears."""
 
-    def __init__(self, troubles: Iterable[Any], size: int) -> None:
+    def __init__(self, faults: Iterable[Any], size: int) -> None:
         self.spells: list[tuple[set[int], set[int], bool, Spell]] = []
         self.strains: list[tuple[float, float, Spell]] = []  # ms late, share lost
         every = set(range(size))
-        for x in troubles:
+        for x in faults:
             if getattr(x, "to", "members") != "members":
                 continue
             begin = x.at_s * 1e3
@@ -124,7 +124,7 @@
     return found
 
 
-def judge_day(lines: Iterable[dict[str, Any]], day: dict[str, Any]) -> list[Breach] | None:
+def judge_day(lines: Iterable[dict[str, Any]], day: dict[str, Any]) -> list[Violation] | None:
     """`judge` by a day's sections; None where its front ends don't know each other."""
     if not (day["fleet"].members or day["fleet_troubles"]):
         return None
@@ -132,11 +132,11 @@
 
 
 def judge(
-    lines: Iterable[dict[str, Any]], troubles: Iterable[Any], size: int, last_ms: float
-) -> list[Breach]:
-    """All breaches up to `last_ms`, by time. `troubles` are the day's between front ends."""
+    lines: Iterable[dict[str, Any]], faults: Iterable[Any], size: int, last_ms: float
+) -> list[Violation]:
+    """All breaches up to `last_ms`, by time. `faults` are the day's between front ends."""
     all_ = lives(lines)
-    cuts = Cuts(troubles, size)
+    cuts = Cuts(faults, size)
     breaches = [
         *_parts(all_, size, last_ms),
         *_ends(all_, size, last_ms),
@@ -147,7 +147,7 @@
     return sorted(breaches, key=lambda b: b.at_ms)
 
 
-def _parts(all_: list[Life], size: int, last_ms: float) -> Iterable[Breach]:
+def _parts(all_: list[Life], size: int, last_ms: float) -> Iterable[Violation]:
     """At no moment do the parts in use come to more than the whole."""
     changes: list[tuple[float, int, float, dict[str, Any]]] = []  # when, whose, the share from then on
     for i, life in enumerate(all_):
@@ -185,11 +185,13 @@
         if total > 1.0 + ROUNDING and t <= last_ms:
             who = [i for i, share in shares.items() if share > 0.0]
             names = ", ".join(f"{all_[i].name} {shares[i]:.3f}" for i in who)
-            yield Breach("parts", t, names, f"parts in use come to {total:.3f}", [lines_of[i] for i in who])
+            yield Violation(
+                "parts", t, names, f"parts in use come to {total:.3f}", [lines_of[i] for i in who]
+            )
             return
 
 
-def _ends(all_: list[Life], size: int, last_ms: float) -> Iterable[Breach]:
+def _ends(all_: list[Life], size: int, last_ms: float) -> Iterable[Violation]:
     """Nothing is used past its end: each use is of the part told last, or of the own share once that ran
     out."""
     own = 1.0 / size
@@ -202,11 +204,11 @@
                 over = part is None or part["left"] is not None and line["t"] > part["t"] + part["left"] + 1.0
                 if over or line["share"] > part["share"] + ROUNDING:
                     what = f"used {line['share']:.3f} of the rations" + (" past its end" if over else "")
-                    yield Breach("ends", line["t"], life.name, what, [part or {}, line])
+                    yield Violation("ends", line["t"], life.name, what, [part or {}, line])
                     break
 
 
-def _false(all_: list[Life], cuts: Cuts, last_ms: float) -> Iterable[Breach]:
+def _false(all_: list[Life], cuts: Cuts, last_ms: float) -> Iterable[Violation]:
     """Nobody holds one failed that lives, was not stopped, and could be reached."""
     for life in all_:
         for line in life.lines:
@@ -220,10 +222,10 @@
                 continue  # a process that has been started refuses its port until it listens
             excused = there[0].stopped(t, EXCUSED_MS) or life.stopped(t, EXCUSED_MS)
             if not excused and not cuts.ever(t, EXCUSED_MS):
-                yield Breach("false", t, life.name, f"holds {name} failed, which lives", [line])
+                yield Violation("false", t, life.name, f"holds {name} failed, which lives", [line])
 
 
-def _found(all_: list[Life], cuts: Cuts, last_ms: float) -> Iterable[Breach]:
+def _found(all_: list[Life], cuts: Cuts, last_ms: float) -> Iterable[Violation]:
     """One killed for good is held failed by all that live."""
     for dead in all_:
         until = dead.end + FAILED_WITHIN_MS
@@ -240,10 +242,10 @@
             state = _state(life, dead.name, until)
             if state not in ("failed", "left"):
                 what = f"holds {dead.name} {state or 'unheard'} {FAILED_WITHIN_MS:.0f} ms after it was killed"
-                yield Breach("found", until, life.name, what, [])
+                yield Violation("found", until, life.name, what, [])
 
 
-def _agreed(all_: list[Life], cuts: Cuts, last_ms: float) -> Iterable[Breach]:
+def _agreed(all_: list[Life], cuts: Cuts, last_ms: float) -> Iterable[Violation]:
     """None that lives is held failed for good: at the end, all that live and could hear each other say so."""
     living = [x for x in all_ if x.begin < last_ms - EXCUSED_MS and x.end > last_ms]
     for one in living:
@@ -255,7 +257,7 @@
             state = _state(one, other.name, last_ms)
             if state not in ("alive", "suspected"):
                 what = f"still holds {other.name} {state or 'unheard'}, which lives"
-                yield Breach("agreed", last_ms, one.name, what, [])
+                yield Violation("agreed", last_ms, one.name, what, [])
 
 
 def _state(life: Life, name: str, t: float) -> str:
--- a/petrelway/rules/policy.py
+++ b/petrelway/rules/policy.py
@@ -13,13 +13,13 @@
 APART_MS = 50.0  # two front ends may differ by this in when they change over
 
 
-class Breach(NamedTuple):
+class Violation(NamedTuple):
     statement: str
     who: str
     what: str
 
 
-def judge(lines: Iterable[Mapping[str, Any]], apart_ms: float = APART_MS) -> list[Breach]:
+def judge(lines: Iterable[Mapping[str, Any]], apart_ms: float = APART_MS) -> list[Violation]:
     """What is broken. A front end that an operator vouched for is not judged from then on.
 
     >>> a = {"k": "took", "fe": "a", "version": 0, "digest": "x", "t": 100.0}
@@ -37,7 +37,7 @@
     return [*_apart(takes, apart_ms), *_history(lines, takes)]
 
 
-def _apart(takes: list[Mapping[str, Any]], apart_ms: float) -> Iterable[Breach]:
+def _apart(takes: list[Mapping[str, Any]], apart_ms: float) -> Iterable[Violation]:
     """No request is taken under a version once one was taken under a later one, but for `apart_ms`."""
     first: dict[int, Mapping[str, Any]] = {}
     last: dict[int, Mapping[str, Any]] = {}
@@ -52,26 +52,26 @@
         for new in versions[i + 1 :]:
             over = last[old]["t"] - first[new]["t"]
             if over > apart_ms:
-                yield Breach(
+                yield Violation(
                     "apart", last[old]["fe"],
                     f"took a trigger under version {old} {over:.0f} ms after {first[new]['fe']} took one"
                     f" under version {new}",
                 )  # fmt: skip
 
 
-def _history(lines: list[Mapping[str, Any]], takes: list[Mapping[str, Any]]) -> Iterable[Breach]:
+def _history(lines: list[Mapping[str, Any]], takes: list[Mapping[str, Any]]) -> Iterable[Violation]:
     histories = [x["rows"] for x in lines if x["k"] == "history"]
     if not histories:
-        yield Breach("kept", "", "no history was told at the end")
+        yield Violation("kept", "", "no history was told at the end")
         return
     rows = histories[-1]
     digests = {row[0]: row[2] for row in rows}
     numbers = [row[0] for row in rows]
     if numbers != list(range(numbers[0] if numbers else 0, (numbers[0] if numbers else 0) + len(numbers))):
-        yield Breach("kept", "", f"versions in the history: {numbers}")
+        yield Violation("kept", "", f"versions in the history: {numbers}")
     for number, base, _, _ in rows[1:]:
         if base != number - 1:
-            yield Breach("kept", "", f"version {number} was made from version {base}")
+            yield Violation("kept", "", f"version {number} was made from version {base}")
     said: dict[tuple[int, str], str] = {}
     for x in takes:
         said.setdefault((x["version"], x["digest"]), x["fe"])
@@ -79,15 +79,15 @@
         if version and numbers and version < numbers[0]:
             continue  # older than what is kept
         if (version or digests) and digests.get(version) != digest:
-            yield Breach("nowhere", fe, f"took triggers under version {version} ({digest}), which was never"
+            yield Violation("nowhere", fe, f"took triggers under version {version} ({digest}), which was never"
                                         " adopted")  # fmt: skip
     by = {row[3]: row for row in rows if row[3]}
     for x in lines:
         if x["k"] == "change" and x["state"] == "adopted":
             row = by.get(x["id"])
             if row is None or (row[0], row[1]) != (x["version"], x["base"]):
-                yield Breach("kept", "", f"change {x['id']} was said to be adopted, and the history has"
+                yield Violation("kept", "", f"change {x['id']} was said to be adopted, and the history has"
                                          f" {row}")  # fmt: skip
         elif x["k"] == "change" and x["state"] in ("abandoned", "refused") and x["id"] in by:
-            yield Breach("nowhere", "", f"change {x['id']} was said to be {x['state']}, and is version"
+            yield Violation("nowhere", "", f"change {x['id']} was said to be {x['state']}, and is version"
                                         f" {by[x['id']][0]}")  # fmt: skip
--- a/petrelway/settings/days.py
+++ b/petrelway/settings/days.py
@@ -1,4 +1,4 @@
-"""The sections of a rehearsal day: fleet, traffic, rules' figures and troubles."""
+"""The sections of a rehearsal day: fleet, traffic, rules' figures and faults."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     RequestClassTerms,
     CapabilitySettings,
 )
-from .reading import Fault, SettingsError, evaluate, sections
+from .reading import SettingsProblem, SettingsError, evaluate, sections
 
 Range = Annotated[list[float], Meta(min_length=2, max_length=2)]
 
@@ -82,7 +82,7 @@
     executors: Annotated[int, Meta(ge=1, le=10_000)]
     kinds: Annotated[list[MachineKind], Meta(min_length=1, max_length=20)]
     fronts: Annotated[int, Meta(ge=1, le=5_000)] = 3
-    members: bool = False  # front ends know each other; so they do on a day with fleet_troubles
+    members: bool = False  # front ends know each other; so they do on a day with fleet_faults
     keepers: Annotated[int, Meta(ge=0, le=7)] = 0  # so many keep the terms, which can be changed then; odd
     workers: bool = False  # real worker processes in place of the stand-in executors
     cell_size: Annotated[int, Meta(ge=1, le=500)] = 4
@@ -151,7 +151,7 @@
     again_ms: Ms = 200.0  # and how long that takes
 
 
-class Trouble(Strict):
+class Fault(Strict):
     kind: Literal[KINDS]
     at_s: Annotated[float, Meta(ge=0)]
     len_s: Annotated[float, Meta(ge=0)] = 10.0
@@ -163,7 +163,7 @@
     on: list[Count] = []  # executors or front ends by number; left out: drawn
 
 
-class FleetTrouble(Strict):
+class FleetFault(Strict):
     """Between front ends, or of their processes, by number. `others` left out: all that are not in `on`; `to`
     says whether these are members or executors, or the way is to the list service."""
 
@@ -197,8 +197,8 @@
     "keeping": ReplicaRetention,
     "cold": ColdStart,
     "ration": Ration,
-    "troubles": Annotated[list[Trouble], Meta(max_length=100)],
-    "fleet_troubles": Annotated[list[FleetTrouble], Meta(max_length=100)],
+    "troubles": Annotated[list[Fault], Meta(max_length=100)],
+    "fleet_troubles": Annotated[list[FleetFault], Meta(max_length=100)],
 }
 OPTIONAL = frozenset(
     ("store", "roster", "network", "rules", "permits", "keeping", "ration", "troubles", "fleet_troubles")
@@ -220,10 +220,12 @@
     fleet = found["fleet"]
     for name, most in (("executors", 500), ("fronts", 64)):
         if (asked := getattr(fleet, name)) > most:
-            faults.append(Fault(f"fleet.{name}", str(asked), f"{most} at most on sockets; emulate it"))
-    for i, trouble in enumerate(found["troubles"]):
-        if trouble.kind in EMULATED_ONLY:
-            faults.append(Fault(f"troubles[{i}].kind", repr(trouble.kind), "only in an emulation"))
+            faults.append(
+                SettingsProblem(f"fleet.{name}", str(asked), f"{most} at most on sockets; emulate it")
+            )
+    for i, fault in enumerate(found["troubles"]):
+        if fault.kind in EMULATED_ONLY:
+            faults.append(SettingsProblem(f"troubles[{i}].kind", repr(fault.kind), "only in an emulation"))
     if faults:
         raise SettingsError(file, faults)
     return found
@@ -250,37 +252,43 @@
         for name in getattr(found["traffic"], section):
             if name not in request_classes:
                 faults.append(
-                    Fault(
+                    SettingsProblem(
                         f"traffic.{section}.{name}",
                         "that tariff",
                         "one of " + ", ".join(sorted(request_classes)),
                     )
                 )
     fleet = found["fleet"]
-    for i, trouble in enumerate(found["troubles"]):
-        if trouble.at_s > found["day"].length_s:
+    for i, fault in enumerate(found["troubles"]):
+        if fault.at_s > found["day"].length_s:
             faults.append(
-                Fault(f"troubles[{i}].at_s", f"{trouble.at_s:g}", f"{found['day'].length_s:g} at most")
+                SettingsProblem(
+                    f"troubles[{i}].at_s", f"{fault.at_s:g}", f"{found['day'].length_s:g} at most"
+                )
             )
-        most = fleet.fronts if trouble.kind.startswith("balancer") else fleet.executors
-        for number in trouble.on:
+        most = fleet.fronts if fault.kind.startswith("balancer") else fleet.executors
+        for number in fault.on:
             if number >= most:
-                faults.append(Fault(f"troubles[{i}].on", str(number), f"0 to {most - 1}"))
-    for i, trouble in enumerate(found["fleet_troubles"]):
-        most = {"members": fleet.fronts, "executors": fleet.executors, "roster": 0}[trouble.to]
+                faults.append(SettingsProblem(f"troubles[{i}].on", str(number), f"0 to {most - 1}"))
+    for i, fault in enumerate(found["fleet_troubles"]):
+        most = {"members": fleet.fronts, "executors": fleet.executors, "roster": 0}[fault.to]
         for name, bound in (("on", fleet.fronts), ("others", most)):
-            if any(number >= bound for number in getattr(trouble, name)):
-                faults.append(Fault(f"fleet_troubles[{i}].{name}", "a larger number", f"less than {bound}"))
-        if trouble.to != "members" and trouble.kind not in ON_CONNECTIONS:
+            if any(number >= bound for number in getattr(fault, name)):
+                faults.append(
+                    SettingsProblem(f"fleet_troubles[{i}].{name}", "a larger number", f"less than {bound}")
+                )
+        if fault.to != "members" and fault.kind not in ON_CONNECTIONS:
             allowed = "on the ways to roster and executors " + ", ".join(ON_CONNECTIONS)
-            faults.append(Fault(f"fleet_troubles[{i}].kind", repr(trouble.kind), allowed))
-        if trouble.at_s > found["day"].length_s:
+            faults.append(SettingsProblem(f"fleet_troubles[{i}].kind", repr(fault.kind), allowed))
+        if fault.at_s > found["day"].length_s:
             faults.append(
-                Fault(f"fleet_troubles[{i}].at_s", f"{trouble.at_s:g}", f"{found['day'].length_s:g} at most")
+                SettingsProblem(
+                    f"fleet_troubles[{i}].at_s", f"{fault.at_s:g}", f"{found['day'].length_s:g} at most"
+                )
             )
     if fleet.cold_share < found["cold"].start_share:
         faults.append(
-            Fault(
+            SettingsProblem(
                 "fleet.cold_share",
                 f"{fleet.cold_share:g}",
                 f"at least the told cold.start_share = {found['cold'].start_share:g}",
@@ -288,7 +296,7 @@
         )
     if fleet.warm_ms > found["cold"].warm_ms:
         faults.append(
-            Fault(
+            SettingsProblem(
                 "fleet.warm_ms",
                 f"{fleet.warm_ms:g}",
                 f"at most the told cold.warm_ms = {found['cold'].warm_ms:g}",
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -10,7 +10,7 @@
 from msgspec import Meta, field
 
 from ..fleet.words import digest
-from .reading import Fault, SettingsError, evaluate, sections
+from .reading import SettingsProblem, SettingsError, evaluate, sections
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 Ms = Annotated[float, Meta(ge=0, le=86_400_000)]
@@ -194,13 +194,15 @@
         return False
 
 
-def _between_peers(place: FrontEndPlace, peers: PeersWanted) -> list[Fault]:
+def _between_peers(place: FrontEndPlace, peers: PeersWanted) -> list[SettingsProblem]:
     """Danger: two names with one digest, or one address, would be taken for each other."""
     faults = []
     others = [m for m in peers.members if m.name != place.name]
     if len(others) + 1 != place.peers:
         found = f"{len(others)} others beside {place.name!r}"
-        faults.append(Fault("peers.members", found, f"front_end.peers - 1 = {place.peers - 1} others"))
+        faults.append(
+            SettingsProblem("peers.members", found, f"front_end.peers - 1 = {place.peers - 1} others")
+        )
     ids, at = {digest(place.name): place.name}, {}
     for i, m in enumerate(peers.members):
         if m.name == place.name:
@@ -210,38 +212,54 @@
             (at, (m.address, m.port), f"{m.address}:{m.port}"),
         ):
             if key in known:
-                faults.append(Fault(f"peers.members[{i}]", found, f"another one than that of {known[key]!r}"))
+                faults.append(
+                    SettingsProblem(f"peers.members[{i}]", found, f"another one than that of {known[key]!r}")
+                )
             known.setdefault(key, m.name)
         if not _is_ip(m.address):
-            faults.append(Fault(f"peers.members[{i}].address", repr(m.address), "an address in figures"))
+            faults.append(
+                SettingsProblem(f"peers.members[{i}].address", repr(m.address), "an address in figures")
+            )
     return faults
 
 
-def _between_policy(place: FrontEndPlace, policy: PolicyWanted, peers: PeersWanted | None) -> list[Fault]:
+def _between_policy(
+    place: FrontEndPlace, policy: PolicyWanted, peers: PeersWanted | None
+) -> list[SettingsProblem]:
     if peers is None:
-        return [Fault("policy", "no section peers", "one: members that know each other change terms")]
+        return [
+            SettingsProblem("policy", "no section peers", "one: members that know each other change terms")
+        ]
     faults, names = [], [place.name, *(m.name for m in peers.members)]
     if len(policy.keepers) % 2 == 0 or len(set(policy.keepers)) != len(policy.keepers):
         found = f"{len(policy.keepers)} ({', '.join(policy.keepers)})"
-        faults.append(Fault("policy.keepers", found, "3, 5 or 7 names, each once"))
+        faults.append(SettingsProblem("policy.keepers", found, "3, 5 or 7 names, each once"))
     for i, name in enumerate(policy.keepers):
         if name not in names:
-            faults.append(Fault(f"policy.keepers[{i}]", repr(name), "a member of the section peers"))
+            faults.append(
+                SettingsProblem(f"policy.keepers[{i}]", repr(name), "a member of the section peers")
+            )
     if place.name in policy.keepers and not policy.file:
-        faults.append(Fault("policy.file", "nothing", "a file of its own: this front end is a keeper"))
+        faults.append(
+            SettingsProblem("policy.file", "nothing", "a file of its own: this front end is a keeper")
+        )
     return faults
 
 
-def between(found: dict[str, Any]) -> list[Fault]:
+def between(found: dict[str, Any]) -> list[SettingsProblem]:
     """What must hold between values that are each well formed."""
     faults = []
     place, fleet = found["front_end"], found["fleet"]
     if place.zone not in fleet.zones:
         faults.append(
-            Fault("front_end.hall", repr(place.zone), "one of fleet.halls: " + ", ".join(fleet.zones))
+            SettingsProblem(
+                "front_end.hall", repr(place.zone), "one of fleet.halls: " + ", ".join(fleet.zones)
+            )
         )
     if place.number >= place.peers:
-        faults.append(Fault("front_end.number", str(place.number), f"0 to peers - 1 = {place.peers - 1}"))
+        faults.append(
+            SettingsProblem("front_end.number", str(place.number), f"0 to peers - 1 = {place.peers - 1}")
+        )
     if "peers" in found:
         faults += _between_peers(place, found["peers"])
     if "policy" in found:
@@ -250,22 +268,28 @@
         seen: set[str] = set()
         for i, each in enumerate(found[section]):
             if each.name in seen:
-                faults.append(Fault(f"{section}[{i}].name", repr(each.name), "a name not used before"))
+                faults.append(
+                    SettingsProblem(f"{section}[{i}].name", repr(each.name), "a name not used before")
+                )
             seen.add(each.name)
     for i, t in enumerate(found["tariffs"]):
         if t.latency_objective_ms > t.deadline_ms:
             faults.append(
-                Fault(
+                SettingsProblem(
                     f"tariffs[{i}].quoted_ms",
                     f"{t.latency_objective_ms:g}",
                     f"outer_ms = {t.deadline_ms:g} at most",
                 )
             )
         if t.idempotency == "stamped" and t.window_ms <= 0.0:
-            faults.append(Fault(f"tariffs[{i}].window_ms", f"{t.window_ms:g}", "more than 0 where stamped"))
+            faults.append(
+                SettingsProblem(f"tariffs[{i}].window_ms", f"{t.window_ms:g}", "more than 0 where stamped")
+            )
     portions = sum(c.portion for c in found["customers"])
     if portions > 1.0 + 1e-9:
-        faults.append(Fault("customers", f"portions that sum to {portions:g}", "a sum of 1 at most"))
+        faults.append(
+            SettingsProblem("customers", f"portions that sum to {portions:g}", "a sum of 1 at most")
+        )
     earlier: list[str] = []
     for i, f in enumerate(found["functions"]):
         hidden = next(
@@ -278,7 +302,9 @@
         )
         if hidden:  # an exact name always comes first; a pattern behind a wider one never would
             faults.append(
-                Fault(f"functions[{i}].name", repr(f.name), f"a pattern not covered by {hidden!r} before it")
+                SettingsProblem(
+                    f"functions[{i}].name", repr(f.name), f"a pattern not covered by {hidden!r} before it"
+                )
             )
         earlier.append(f.name)
     return faults
--- a/petrelway/settings/reading.py
+++ b/petrelway/settings/reading.py
@@ -14,7 +14,7 @@
 FILE_BOUND = 4 << 20  # bytes of one file, and of what it evaluates to
 
 
-class Fault(NamedTuple):
+class SettingsProblem(NamedTuple):
     """One thing wrong: where, what was found, what is allowed."""
 
     path: str
@@ -25,7 +25,7 @@
 class SettingsError(Exception):
     """All that is wrong in one file; its text has one line a fault."""
 
-    def __init__(self, file: str, faults: list[Fault]) -> None:
+    def __init__(self, file: str, faults: list[SettingsProblem]) -> None:
         super().__init__(
             "\n".join(f"{file}: {f.path}: found {f.found}; allowed: {f.allowed}" for f in faults)
         )
@@ -37,21 +37,27 @@
     name = str(file)
     try:
         if Path(file).stat().st_size > FILE_BOUND:
-            raise SettingsError(name, [Fault("(file)", "a larger file", f"{FILE_BOUND} bytes at most")])
+            raise SettingsError(
+                name, [SettingsProblem("(file)", "a larger file", f"{FILE_BOUND} bytes at most")]
+            )
         text = _jsonnet.evaluate_file(name, ext_vars=dict(overrides or {}), max_stack=200)
     except OSError as error:
         raise SettingsError(
-            name, [Fault("(file)", error.strerror or str(error), "a file that can be read")]
+            name, [SettingsProblem("(file)", error.strerror or str(error), "a file that can be read")]
         ) from error
     except RuntimeError as error:
         lines = [line.strip() for line in str(error).strip().splitlines()]
         where = lines[1].split("\t")[0] if len(lines) > 1 else "(template)"
-        raise SettingsError(name, [Fault(where, lines[0], "a Jsonnet template that evaluates")]) from error
+        raise SettingsError(
+            name, [SettingsProblem(where, lines[0], "a Jsonnet template that evaluates")]
+        ) from error
     if len(text) > FILE_BOUND:
-        raise SettingsError(name, [Fault("(file)", f"{len(text)} bytes evaluated", f"{FILE_BOUND} at most")])
+        raise SettingsError(
+            name, [SettingsProblem("(file)", f"{len(text)} bytes evaluated", f"{FILE_BOUND} at most")]
+        )
     tree = json.loads(text)
     if not isinstance(tree, dict):
-        raise SettingsError(name, [Fault("(file)", type(tree).__name__, "an object of sections")])
+        raise SettingsError(name, [SettingsProblem("(file)", type(tree).__name__, "an object of sections")])
     return tree
 
 
@@ -62,11 +68,13 @@
     faults, found = [], {}
     for name in tree:
         if name not in shapes:
-            faults.append(Fault(name, "a section of that name", "one of " + ", ".join(sorted(shapes))))
+            faults.append(
+                SettingsProblem(name, "a section of that name", "one of " + ", ".join(sorted(shapes)))
+            )
     for name, shape in shapes.items():
         if name not in tree:
             if name not in optional:
-                faults.append(Fault(name, "nothing", f"a section of this shape: {_plain(shape)}"))
+                faults.append(SettingsProblem(name, "nothing", f"a section of this shape: {_plain(shape)}"))
             continue
         try:
             found[name] = msgspec.convert(tree[name], shape)
@@ -77,7 +85,7 @@
     return found
 
 
-def _fault(section: str, tree: Any, text: str) -> Fault:
+def _fault(section: str, tree: Any, text: str) -> SettingsProblem:
     message, _, path = text.partition(" - at `$")
     path = path.rstrip("`")
     value = tree
@@ -87,11 +95,13 @@
         except (KeyError, IndexError, TypeError):
             break
     if unknown := re.search(r"contains unknown field `(.+?)`", message):
-        return Fault(f"{section}{path}", f"the key {unknown[1]!r}", "the keys that the operators' page lists")
+        return SettingsProblem(
+            f"{section}{path}", f"the key {unknown[1]!r}", "the keys that the operators' page lists"
+        )
     if missing := re.search(r"missing required field `(.+?)`", message):
-        return Fault(f"{section}{path}.{missing[1]}", "nothing", "a value: the key is required")
+        return SettingsProblem(f"{section}{path}.{missing[1]}", "nothing", "a value: the key is required")
     allowed = message.split(", got ")[0].removeprefix("Expected ").replace("`", "")
-    return Fault(f"{section}{path}", json.dumps(value)[:80], allowed)
+    return SettingsProblem(f"{section}{path}", json.dumps(value)[:80], allowed)
 
 
 def _plain(shape: Any) -> str:
--- a/petrelway/settings/worker.py
+++ b/petrelway/settings/worker.py
@@ -7,7 +7,7 @@
 from msgspec import Meta, field
 
 from .front import Count, Listen, LogWanted, Ms, Name, Port, Some, Strict
-from .reading import Fault, SettingsError, evaluate, sections
+from .reading import SettingsProblem, SettingsError, evaluate, sections
 
 
 class WorkerPlace(Strict):
@@ -82,7 +82,7 @@
     for i, mark in enumerate(found["stamped"]):
         if mark.request_class in seen:
             faults.append(
-                Fault(f"stamped[{i}].tariff", repr(mark.request_class), "a tariff not named before")
+                SettingsProblem(f"stamped[{i}].tariff", repr(mark.request_class), "a tariff not named before")
             )
         seen.add(mark.request_class)
     if faults:
--- a/petrelway/standin/life.py
+++ b/petrelway/standin/life.py
@@ -1,4 +1,4 @@
-"""The life of one post of the script: its processes, their troubles, what they note. Without sockets."""
+"""The life of one post of the script: its processes, their faults, what they note. Without sockets."""
 
 from __future__ import annotations
 
--- a/petrelway/standin/machine.py
+++ b/petrelway/standin/machine.py
@@ -237,7 +237,7 @@
             pinned / self.memory_mb,
         )
 
-    # -- troubles
+    # -- faults
 
     def freeze(self, on: bool) -> None:
         """Takes work, does none, says nothing. Calls may overlap: each on needs its off."""
--- a/petrelway/standin/script.py
+++ b/petrelway/standin/script.py
@@ -66,10 +66,10 @@
     posts = [_post(fleet, random_source, i, i % len(fleet.zones), 0.0) for i in range(fleet.executors)]
     happenings: list[Happening] = []
     alive = list(range(fleet.executors))
-    for i, trouble in enumerate(day["troubles"]):
-        _script(day, trouble, random.Random(f"{times.seed}/trouble {i}"), posts, alive, happenings)
-    for i, trouble in enumerate(day["fleet_troubles"]):
-        _to_front_ends(fleet, trouble, random.Random(f"{times.seed}/fleet trouble {i}"), happenings)
+    for i, fault in enumerate(day["troubles"]):
+        _script(day, fault, random.Random(f"{times.seed}/trouble {i}"), posts, alive, happenings)
+    for i, fault in enumerate(day["fleet_troubles"]):
+        _to_front_ends(fleet, fault, random.Random(f"{times.seed}/fleet trouble {i}"), happenings)
     happenings.sort(key=lambda h: h.at_ms)
     return Script(posts, _possible(happenings))
 
@@ -117,7 +117,7 @@
 
 
 def _possible(happenings: list[Happening]) -> list[Happening]:
-    """Troubles overlap: what would happen to an executor that has been replaced does not."""
+    """Faults overlap: what would happen to an executor that has been replaced does not."""
     left: set[int] = set()
     found = []
     for h in happenings:
--- a/tests/compatibility/forms_console.py
+++ b/tests/compatibility/forms_console.py
@@ -22,7 +22,7 @@
 
 TOPIC = "console"
 PAGES = ("service", "executors", "functions", "triggers", "changes", "members", "policy", "own")
-ASKED_AT_S = 6.0  # of the day, when its troubles have shown
+ASKED_AT_S = 6.0  # of the day, when its faults have shown
 PAGE_S = 1.0  # simulated time in which each page is whole
 LIVE_S = 3.0
 VERBS = {
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -101,8 +101,8 @@
 
 
 class Rig:
-    def __init__(self, troubles=(), length=6):
-        self.day = MemoryDay(day(troubles, length=length), consoles=True)
+    def __init__(self, faults=(), length=6):
+        self.day = MemoryDay(day(faults, length=length), consoles=True)
         self.world = self.day.world
         self.process = Process(self.world, "browser")
         self.began = self.day.plan.epoch_ms / 1e3
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Whole days in memory: real front ends, stand-ins and checker, one seed; faults caused on purpose."""
+"""Whole days in memory: real front ends, stand-ins and checker, one seed; violations caused on purpose."""
 
 import random
 
@@ -45,7 +45,7 @@
 }
 
 
-def day(troubles=(), seed=1, rate=40, length=10, **changes):
+def day(faults=(), seed=1, rate=40, length=10, **changes):
     tree = {
         "day": {"length_s": length, "seed": seed, "grace_ms": 20, "slack_ms": 5},
         "fleet": {
@@ -73,7 +73,7 @@
         "permits": {"transmissions": 4, "longest_retry_ms": 300},
         "keeping": {"least_keep_ms": 5000, "order_timeout_ms": 4000},
         "cold": {"multiple": 4, "span_ms": 1500, "start_share": 0.2, "warm_ms": 8000},
-        "troubles": [{"kind": k, "at_s": 3, "len_s": 4, "part": 0.3, **SPELL.get(k, {})} for k in troubles],
+        "troubles": [{"kind": k, "at_s": 3, "len_s": 4, "part": 0.3, **SPELL.get(k, {})} for k in faults],
     }
     for section, change in changes.items():
         tree[section] = {**tree.get(section, {}), **change}
@@ -87,8 +87,8 @@
 
 
 def kept(tree):
-    played, lines, faults = play(tree)
-    assert not faults, [f[:4] for f in faults[:5]]
+    played, lines, violations = play(tree)
+    assert not violations, [f[:4] for f in violations[:5]]
     assert played.left, "a front end did not leave"
     assert not [x for x in played.log.lines if x[0] == "error"], played.log.lines
     for _, service in played.fronts.values():
@@ -104,10 +104,10 @@
 
 
 @pytest.mark.parametrize("kind", PLAYED)
-def test_each_trouble_alone(kind):
+def test_each_fault_alone(kind):
     lines, good = kept(day([kind], seed=3, rate=20))
     assert good > 0.6
-    # the trouble was really there
+    # the fault was really there
     seen = {x["k"] for x in lines}
     outcomes = {x["o"] for x in lines if x["k"] == "end" and "o" in x}
     signs = {
@@ -126,9 +126,9 @@
 
 
 @pytest.mark.parametrize("seed", range(4))  # a dozen more are emulated
-def test_overlapping_troubles(seed):
+def test_overlapping_faults(seed):
     random_source = random.Random(seed)
-    troubles = random_source.sample(PLAYED, 4)
+    faults = random_source.sample(PLAYED, 4)
     changes = {
         "keeping": {"answers_miss": random_source.random() < 0.4},
         "fleet": {
@@ -139,7 +139,7 @@
     }
     if random_source.random() < 0.5:
         changes["ration"] = {"window_ms": 3000, "free": 4, "share": 0.2}
-    kept(day(troubles, seed=seed, rate=random_source.choice([30, 60, 150]), **changes))
+    kept(day(faults, seed=seed, rate=random_source.choice([30, 60, 150]), **changes))
 
 
 class Silent(FrontEnd):
@@ -225,6 +225,6 @@
 
 @pytest.mark.parametrize("rule, kind, tree", BREAKERS)
 def test_a_front_end_that_breaks_a_rule_is_caught(rule, kind, tree):
-    _, _, faults = play(tree, kind)
-    assert rule in {f.rule for f in faults}
+    _, _, violations = play(tree, kind)
+    assert rule in {f.rule for f in violations}
     assert not play(tree)[2]  # and the true one keeps them all on the same day
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -231,7 +231,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_each_trouble_alone(kind):
+def test_each_fault_alone(kind):
     tree = day([kind], seed=3)
     tree["troubles"][0].update(SIZE.get(kind, {}))
     lines, good = kept(tree)
@@ -239,11 +239,11 @@
     if kind in ("one_byte", "roster_gap"):
         return  # frames have no bytes here; and the list has nothing to lose on a day without changes
     quiet = kept(day([], seed=3))[0]
-    assert msgspec.json.encode(lines) != msgspec.json.encode(quiet)  # the trouble was really there
+    assert msgspec.json.encode(lines) != msgspec.json.encode(quiet)  # the fault was really there
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_overlapping_troubles(seed):
+def test_overlapping_faults(seed):
     random_source = random.Random(seed)
     tree = day(
         random_source.sample(KINDS, 5),
@@ -258,8 +258,8 @@
         network={"between_ms": random_source.choice([0.5, 20.0]), "loss": random_source.choice([0.0, 0.01])},
         **({"ration": {"window_ms": 3000, "free": 4, "share": 0.2}} if random_source.random() < 0.5 else {}),
     )
-    for trouble in tree["troubles"]:
-        trouble.update(SIZE.get(trouble["kind"], {}))
+    for fault in tree["troubles"]:
+        fault.update(SIZE.get(fault["kind"], {}))
     kept(tree)
 
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -194,7 +194,7 @@
     assert [t["kind"] for t in find.tree["troubles"]] == ["hang", "cut"] and find.rules == {2}
     assert find.tree["fleet"]["executors"] == 4 and find.tree["fleet"]["fronts"] == 1 and count <= 100
     assert all(t["len_s"] < 1 for t in find.tree["troubles"]) and len(tree["troubles"]) == 5
-    # without a breach the fleet stays, or it would be served worse for another reason
+    # without a violation the fleet stays, or it would be served worse for another reason
     tree["troubles"] = [t for t in tree["troubles"] if t["kind"] != "hang"]
     find, _ = cut_down(Find(tree, frozenset(), 0.4), play, 100)
     assert find.tree["fleet"]["executors"] == 9
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -405,7 +405,7 @@
 
 
 def test_parts_never_come_to_more_than_one_whatever_the_order(anew):
-    found = explore(partners.beginning(1, 1, 0, 0), partners.moves, partners.breach)
+    found = explore(partners.beginning(1, 1, 0, 0), partners.moves, partners.violation)
     assert found.whole and not found.broken and found.states > 10_000
 
 
@@ -413,7 +413,7 @@
 def test_the_explorer_finds_what_is_broken_on_purpose(name, anew, monkeypatch):
     MUTANTS[name](monkeypatch)
     start = partners.beginning(1, 1, 1 if name == "no end of what was told" else 0, 0)
-    found = explore(start, partners.moves, partners.breach, bound=400_000)
+    found = explore(start, partners.moves, partners.violation, bound=400_000)
     assert found.broken.startswith("parts in use"), found
 
 
@@ -456,7 +456,7 @@
         faults.add(NetworkFault("fog", ALL, ALL, 0, 1))
 
 
-def test_a_seed_draws_the_same_troubles():
+def test_a_seed_draws_the_same_faults():
     tree = {"day": {"length_s": 40, "seed": 1}, "fleet": {"fronts": 12}}
     assert draw(tree, 4) == draw(tree, 4) != draw(tree, 5)
 
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -78,12 +78,12 @@
     """Report and record of each day, by its name."""
     folder = tmp_path_factory.mktemp("fleet")
     running = {}
-    for name, (length, troubles, fleet_troubles) in DAYS.items():
+    for name, (length, faults, fleet_faults) in DAYS.items():
         day = f"(import '{ROOT}/examples/torn-day.jsonnet')"
         with_ = {
             "day": {"length_s": length, "seed": 5},
-            "troubles": troubles,
-            "fleet_troubles": fleet_troubles,
+            "troubles": faults,
+            "fleet_troubles": fleet_faults,
         }
         (folder / f"{name}.jsonnet").write_text(
             f"{day} + {json.dumps(with_)} + {{ traffic+: {{ rate: 25 }} }}"
@@ -188,7 +188,7 @@
     assert len(seen["rows"]) == seen["of"] == SIZE and seen["own share"] == round(OWN, 4)
 
 
-def test_a_trouble_can_be_put_between_front_ends_by_hand(played):
+def test_a_fault_can_be_put_between_front_ends_by_hand(played):
     hand, (_, lines) = played["by hand"], played["ways"]
     assert hand["cut"].returncode == 0 and "cut between [8] and [0, 1, 2" in hand["cut"].stdout
     assert hand["unknown"].returncode == 2 and "allowed: 0 to 11" in hand["unknown"].stdout
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,5 +1,5 @@
 """Terms that all change or none: words, the keepers' log, what a member may take requests under, the file;
-drawn plays and every schedule of one trouble, with mutants of the code that have to be found."""
+drawn plays and every schedule of one fault, with mutants of the code that have to be found."""
 
 import json
 import random
@@ -599,7 +599,7 @@
     assert c.change("p", 0, '{"n":1}').why == "abandoned by op"
 
 
-# -- drawn plays, and every schedule of one trouble
+# -- drawn plays, and every schedule of one fault
 
 
 @pytest.mark.parametrize("first", range(0, 60, 20))
@@ -694,11 +694,11 @@
     assert play(seed).breaches
 
 
-def few(trouble):
-    return trouble[1] != 3  # the two members that keep nothing differ in their clocks only
+def few(fault):
+    return fault[1] != 3  # the two members that keep nothing differ in their clocks only
 
 
-def test_every_schedule_of_one_trouble_holds():
+def test_every_schedule_of_one_fault_holds():
     found = quorum.explore(quorum.beginning(), 20, 1, wanted=few)
     assert found.broken == "" and found.runs > 500 and found.depth == 20
 
--- a/tests/test_rules_checker.py
+++ b/tests/test_rules_checker.py
@@ -1,4 +1,4 @@
-"""The checker itself proved: a clean record passes, and each of these has one breach, which is named."""
+"""The checker itself proved: a clean record passes, and each of these has one violation, which is named."""
 
 import json
 
@@ -263,7 +263,7 @@
 
 
 @pytest.mark.parametrize("rule, word, lines", BROKEN)
-def test_each_breach_is_caught_once(rule, word, lines):
+def test_each_violation_is_caught_once(rule, word, lines):
     faults = judge(sorted(UPS + lines, key=lambda x: x["t"]), TOLD)
     assert [(f.rule, word in f.what) for f in faults] == [(rule, True)], faults
     assert faults[0].evidence or word == "no answer"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -47,9 +47,9 @@
     assert check_front_end("f", good)["peers"].fleet == "f"  # the own line does no harm
 
 
-def test_troubles_between_front_ends_are_checked():
+def test_faults_between_front_ends_are_checked():
     tree = evaluate(Path(__file__).parent.parent / "examples" / "torn-day.jsonnet")
-    for trouble, path in (
+    for scheduled, path in (
         ({"kind": "cut", "at_s": 1, "on": [12]}, "fleet_troubles[0].on"),
         ({"kind": "cut", "at_s": 99}, "fleet_troubles[0].at_s"),
         ({"kind": "loss", "at_s": 1, "to": "roster"}, "fleet_troubles[0].kind"),
@@ -57,7 +57,7 @@
         ({"kind": "fog", "at_s": 1}, "fleet_troubles[0].kind"),
     ):
         with pytest.raises(SettingsError) as caught:
-            check_day("d", {**tree, "fleet_troubles": [trouble]})
+            check_day("d", {**tree, "fleet_troubles": [scheduled]})
         assert [f.path for f in caught.value.faults] == [path]
 
 
