--- a/petrelway/commands/standins.py
+++ b/petrelway/commands/standins.py
@@ -47,7 +47,7 @@
 @standin.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 def services(folder: str) -> None:
-    """Model store and roster."""
+    """Model store and registry."""
     from ..standin.parts import play_services
 
     _run(play_services, folder)
--- a/petrelway/emulator/day.py
+++ b/petrelway/emulator/day.py
@@ -1,4 +1,4 @@
-"""One emulated day from its sections and one seed: fleet, store, roster, network, front ends, clients."""
+"""One emulated day from its sections and one seed: fleet, store, registry, network, front ends, clients."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ..standin.life import Life
 from ..standin.machine import Marks
 from ..standin.memory import Process, World
-from ..standin.roster import Book, changes, first_lines, tell
+from ..standin.registry import Book, changes, first_lines, tell
 from ..standin.script import Happening, late, network_faults, other_ways, write
 from ..standin.store import Store
 from ..standin.fault_schedule import FaultSchedule, fault_random_source
@@ -110,7 +110,7 @@
             terms.down_ms,
         )
         self._make_executors()
-        self.roster_up = True
+        self.registry_up = True
         self.book = Book(self.tape)
         ports = range(len(self.script.posts))
         for line in first_lines(day, self.script, ports):
@@ -129,8 +129,16 @@
             Clients(sim, self.network, day, self.fronts, number, self.epoch_ms, self.tape)
             for number in range(day["traffic"].clients)
         ]
+        play = {
+            "executor": self._executor,
+            "client": self._client,
+            "network": self._network,
+            "store": self._store,
+            "roster": self._registry,
+            "front": self._front,
+        }
         for h in self.script.happenings:
-            self._at(h.at_ms, getattr(self, f"_{h.who}"), h)
+            self._at(h.at_ms, play[h.who], h)
 
     def play(self) -> list[dict[str, Any]]:
         """Play it to the end; the record's lines, by time."""
@@ -193,7 +201,7 @@
         process = f"p{self.starts}"
         self.tape.note("front started", fe=name)
         self.fronts[number] = front = Front(
-            place, found, process, self.kind, self.book, lambda: self.roster_up, self.log
+            place, found, process, self.kind, self.book, lambda: self.registry_up, self.log
         )
         if self.sea is not None:
             front.join(self.sea, number)
@@ -211,14 +219,14 @@
     def _store(self, h: Happening) -> None:
         self.store.slow(h.size)
 
-    def _roster(self, h: Happening) -> None:
+    def _registry(self, h: Happening) -> None:
         if h.what == "gap":
             self.book.lose_next = True
         elif h.what == "down":
-            self.roster_up = False
+            self.registry_up = False
             self.book.drop_all()
         else:
-            self.roster_up = True
+            self.registry_up = True
 
     def _network(self, h: Happening) -> None:
         if h.what in ("cut", "end cut"):
--- a/petrelway/emulator/fronts.py
+++ b/petrelway/emulator/fronts.py
@@ -11,17 +11,17 @@
 from ..choice import FrontEnd
 from ..front.backoff import Backoff
 from ..front.host import Answer, Function, Host
-from ..front.roster import RETRY_LEAST_MS, RETRY_MOST_MS
+from ..front.registry import RETRY_LEAST_MS, RETRY_MOST_MS
 from ..front.service import decider, note_uses
 from ..standin.life import Life
 from ..standin.memory import Process, World
-from ..standin.roster import Book
+from ..standin.registry import Book
 from ..wire.registry_codec import EndpointEntry
 from .links import Cable, EmulatedLink
 from .network import Network
 from .sea import Sea
 
-CENTRE = 0  # the zone where roster and store are
+CENTRE = 0  # the zone where registry and store are
 
 
 class Place:
@@ -33,7 +33,7 @@
 
 
 class Following:
-    """The roster's words to one front end; a gap or an outage has it ask for the whole list."""
+    """The registry's words to one front end; a gap or an outage has it ask for the whole list."""
 
     def __init__(self, place: Place, book: Book, front: Front) -> None:
         self.place, self.book, self.front = place, book, front
@@ -45,7 +45,7 @@
     def follow(self) -> None:
         if self.place.process.dead:
             return
-        if not self.front.roster_up() or not self.place.network.reaches(CENTRE, self.place.zone):
+        if not self.front.registry_up() or not self.place.network.reaches(CENTRE, self.place.zone):
             self.place.process.callLater(self.backoff.failed() / 1e3, self.follow)
             return
         self.serial = None
@@ -99,11 +99,11 @@
         process: str,
         kind: Callable[..., FrontEnd],
         book: Book,
-        roster_up: Callable[[], bool],
+        registry_up: Callable[[], bool],
         log,
     ) -> None:
         told = found["front_end"]
-        self.place, self.name, self.roster_up = place, told.name, roster_up
+        self.place, self.name, self.registry_up = place, told.name, registry_up
         self.random_source = random.Random(f"{told.seed}/{told.name}/links")
         fleet = found["fleet"]
         self.host = Host(
--- a/petrelway/front/__init__.py
+++ b/petrelway/front/__init__.py
@@ -1,1 +1,1 @@
-"""The running front end: intake, host, links and the roster's follower."""
+"""The running front end: intake, host, links and the registry's follower."""
--- a/petrelway/front/host.py
+++ b/petrelway/front/host.py
@@ -245,7 +245,7 @@
         return answer
 
     def executors_listed(self, lines: list[EndpointEntry], complete: bool) -> None:
-        """The roster's word. A link is made for each executor that it names."""
+        """The registry's word. A link is made for each executor that it names."""
         self.look_at_wall_clock()
         now, endpoints = self.now(), []
         for line in lines:
--- a/petrelway/front/links.py
+++ b/petrelway/front/links.py
@@ -1,6 +1,6 @@
 """Links to executors: one TCP connection each, many attempts at a time.
 
-A link connects as soon as the roster names its executor and again, with backoff, whenever it broke. What it
+A link connects as soon as the registry names its executor and again, with backoff, whenever it broke. What it
 tells the host is exact: see proof.py. The clock, the connector and the chance are handed in.
 """
 
@@ -189,14 +189,14 @@
         return self.load_requests.pop(id, None) is not None
 
     def moved(self, address: str, port: int) -> None:
-        """The roster names another place for the same executor."""
+        """The registry names another place for the same executor."""
         if (address, port) != (self.address, self.port):
             self.address, self.port = address, port
             if self.wire is not None:
                 self.wire.transport.abortConnection()
 
     def restarted(self, unix_ms: float, started_ms: float) -> None:
-        """The roster names a process started then; a link to an older one is half open and cannot answer."""
+        """The registry names a process started then; a link to an older one is half open and cannot answer."""
         if self.wire is not None and self.ready and self.started_ms < unix_ms - 1.0:
             self.reason = EndReason.RESTARTED
             self.wire.transport.abortConnection()
--- a/petrelway/front/roster.py
+++ b/petrelway/front/registry.py
@@ -1,4 +1,4 @@
-"""Follows the roster: full lists and changes with serials. While it can't be reached the old list holds."""
+"""Follows the registry: full lists and changes with serials. While it can't be reached the old list holds."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 RETRY_LEAST_MS, RETRY_MOST_MS = 100.0, 3000.0
 
 
-class RosterProtocol(protocol.Protocol):
+class RegistryProtocol(protocol.Protocol):
     def __init__(self, follower: Follower) -> None:
         self.follower = follower
         self.frames = Frames()
@@ -27,7 +27,7 @@
     def dataReceived(self, data: bytes) -> None:
         try:
             for payload in self.frames.feed(data):
-                self.follower.listed(*registry_codec.from_roster(payload))
+                self.follower.listed(*registry_codec.from_registry(payload))
         except WireError as fault:
             self.follower.reason = str(fault)
             self.transport.abortConnection()
@@ -37,7 +37,7 @@
 
 
 class Follower:
-    """Keeps the host's list of executors as near to the roster's as the roster lets it."""
+    """Keeps the host's list of executors as near to the registry's as the registry lets it."""
 
     def __init__(
         self,
@@ -55,14 +55,16 @@
         self.clock, self.connect, self.heard, self.log = clock, connect, heard, log
         self.backoff = Backoff(random_source, RETRY_LEAST_MS, RETRY_MOST_MS)
         self.serial: int | None = None  # of the last list; None: a full one is due
-        self.wire: RosterProtocol | None = None
+        self.wire: RegistryProtocol | None = None
         self.reason, self.said_down, self.closed = "", False, False
         self.attempt = self.timer = None
         self._dial()
 
     def _dial(self) -> None:
         self.timer = None
-        self.attempt = self.connect(self.address, self.port, lambda: RosterProtocol(self), CONNECT_TIMEOUT_MS)
+        self.attempt = self.connect(
+            self.address, self.port, lambda: RegistryProtocol(self), CONNECT_TIMEOUT_MS
+        )
         self.attempt.addErrback(self._refused)
 
     def _refused(self, failure: Failure) -> None:
@@ -70,7 +72,7 @@
         if not self.closed:
             self.went_down(failure)
 
-    def came_up(self, wire: RosterProtocol) -> None:
+    def came_up(self, wire: RegistryProtocol) -> None:
         if self.closed:
             wire.transport.abortConnection()
             return
--- a/petrelway/front/service.py
+++ b/petrelway/front/service.py
@@ -19,7 +19,7 @@
 from .dialling import connector
 from .host import Answer, Host
 from .intake import Intake
-from .roster import Follower
+from .registry import Follower
 
 BACKLOG = 512  # connections that wait in the system's queue
 CLOCK_LOOK_S = 1.0  # the wall clock is looked at this often
@@ -67,7 +67,7 @@
 
 
 class FrontEndService(service.Service):
-    """Intake, host, links and the roster's follower of one front end."""
+    """Intake, host, links and the registry's follower of one front end."""
 
     def __init__(
         self,
@@ -119,12 +119,12 @@
             self.intake.terms = self.policy.look
         listen = found["listen"]
         self.port = listen_tcp(self.reactor, listen.port, self.intake, BACKLOG, listen.address, self.log)
-        roster = found["roster"]
+        registry = found["roster"]
         self.follower = Follower(
             place.name,
             process,
-            roster.address,
-            roster.port,
+            registry.address,
+            registry.port,
             self.reactor,
             connector(self.reactor),
             random_source,
--- a/petrelway/rehearsal/conductor.py
+++ b/petrelway/rehearsal/conductor.py
@@ -19,7 +19,7 @@
 from ..standin.fault_proxy import proxy_address
 from ..standin.parts import Plan
 from ..standin.script import late, other_ways
-from ..standin.fault_schedule import ROSTER
+from ..standin.fault_schedule import REGISTRY
 from .fronts import front_settings
 from .realworkers import write_packages, write_worker
 
@@ -117,7 +117,7 @@
             plan.day, tree, i, plan.ports["fronts"][i], plan.ports["roster"], log, peers(plan, i)
         )
         if other_ways(plan.day):
-            settings["roster"] = {"port": plan.ports["fault_proxy"], "address": proxy_address(i, ROSTER)}
+            settings["roster"] = {"port": plan.ports["fault_proxy"], "address": proxy_address(i, REGISTRY)}
         if consoles := plan.ports.get("consoles"):
             settings["console"] = {"port": consoles[i], "token_file": str(plan.folder / "console.token")}
         if keepers := plan.day["fleet"].keepers:
--- a/petrelway/rehearsal/fronts.py
+++ b/petrelway/rehearsal/fronts.py
@@ -12,7 +12,7 @@
     tree: dict[str, Any],
     number: int,
     port: int,
-    roster_port: int,
+    registry_port: int,
     log: dict[str, str] | None = None,
     peers: dict[str, Any] | None = None,
 ) -> dict[str, Any]:
@@ -28,7 +28,7 @@
             "seed": day["day"].seed % 1_000_000 * 1000 + number,
         },
         "listen": {"port": port},
-        "roster": {"port": roster_port},
+        "roster": {"port": registry_port},
         "fleet": {"halls": fleet.zones, "machines": [k.name for k in fleet.kinds]},
         "functions": [*told, {"name": "once-*", "memory_mb": 300.0, "lanes": 4}],
         "log": log or {},
--- a/petrelway/rules/checker.py
+++ b/petrelway/rules/checker.py
@@ -1,4 +1,4 @@
-"""Judges a recorded day by the five rules. It trusts what clients, executors and the roster saw at their
+"""Judges a recorded day by the five rules. It trusts what clients, executors and the registry saw at their
 sockets, and the conductor's word on which front ends it killed or stopped; never the front ends' own word.
 
 Times are ms since the day's epoch; two processes' times may differ by `slack_ms`.
--- a/petrelway/settings/days.py
+++ b/petrelway/settings/days.py
@@ -136,7 +136,7 @@
     down_ms: Ms = 3000.0
 
 
-class RosterTerms(Strict):
+class RegistryTerms(Strict):
     notice_ms: Range = field(default_factory=lambda: [300.0, 1500.0])
     add_ms: Range = field(default_factory=lambda: [200.0, 1000.0])
 
@@ -188,7 +188,7 @@
     "functions": FunctionDraw,
     "traffic": Traffic,
     "store": StoreTerms,
-    "roster": RosterTerms,
+    "roster": RegistryTerms,
     "network": NetworkTerms,
     "rules": RulesFigures,
     "tariffs": Annotated[list[RequestClassTerms], Meta(min_length=1, max_length=20)],
@@ -236,7 +236,7 @@
     found = sections(file, tree, SHAPES, OPTIONAL)
     for name, shape in (
         ("store", StoreTerms),
-        ("roster", RosterTerms),
+        ("roster", RegistryTerms),
         ("network", NetworkTerms),
         ("rules", RulesFigures),
         ("permits", CapabilitySettings),
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -38,7 +38,7 @@
 
 
 class Fleet(Strict):
-    """Names that the roster uses for zones and machine kinds."""
+    """Names that the registry uses for zones and machine kinds."""
 
     zones: list[Name] = field(name="halls")
     machines: list[Name] = []
--- a/petrelway/standin/__init__.py
+++ b/petrelway/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted stand-ins on loopback: executors, store, roster, clients. None of them uses the module."""
+"""Scripted stand-ins on loopback: executors, store, registry, clients. None of them uses the module."""
--- a/petrelway/standin/fault_proxy.py
+++ b/petrelway/standin/fault_proxy.py
@@ -21,7 +21,7 @@
 from ..wire import registry_codec
 from ..wire.framing import Frames
 from .script import EXECUTORS_BOUND, network_faults, other_ways
-from .fault_schedule import EXECUTORS, ROSTER, FaultSchedule, NetworkFault, fault_random_source
+from .fault_schedule import EXECUTORS, REGISTRY, FaultSchedule, NetworkFault, fault_random_source
 
 LOOK_MS = 50.0  # a port at the far end is looked at this often
 HELD_BOUND = 1 << 20  # bytes of one connection that wait
@@ -35,8 +35,8 @@
     >>> proxy_address(0, 3), proxy_address(0, ROSTER), proxy_address(0, EXECUTORS + 3)
     ('127.77.1.4', '127.78.1.1', '127.78.1.5')
     """
-    if other >= ROSTER:
-        return f"127.78.{one + 1}.{other - ROSTER + 1}"
+    if other >= REGISTRY:
+        return f"127.78.{one + 1}.{other - REGISTRY + 1}"
     return f"127.77.{one + 1}.{other + 1}"
 
 
@@ -121,7 +121,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         for payload in self.frames.feed(data):
-            serial, complete, lines = registry_codec.from_roster(payload)
+            serial, complete, lines = registry_codec.from_registry(payload)
             met = [
                 line._replace(
                     address=proxy_address(self.other, EXECUTORS + int(line.executor.rpartition("-")[2])),
@@ -146,7 +146,7 @@
         relay.record.note("dialled", a=self.one, b=self.other)
         if relay.silent(self.one, self.other):
             return near  # it came up, as far as the caller can see, and nothing is ever said on it
-        far = (Lists if self.other == ROSTER else Bytes)(relay, self.other, self.one)
+        far = (Lists if self.other == REGISTRY else Bytes)(relay, self.other, self.one)
         near.far, far.far = far, near
         factory = protocol.ClientFactory.forProtocol(lambda: far)
         factory.noisy = False
@@ -305,7 +305,7 @@
     random_source = fault_random_source(plan.day["day"].seed)
     others: dict[int, int] = {}
     if other_ways(plan.day):
-        others[ROSTER] = plan.ports["roster"]
+        others[REGISTRY] = plan.ports["roster"]
         others.update(
             (EXECUTORS + i, port) for i, port in enumerate(plan.ports["executors"][:EXECUTORS_BOUND])
         )
--- a/petrelway/standin/fault_schedule.py
+++ b/petrelway/standin/fault_schedule.py
@@ -12,7 +12,7 @@
 RANDOM_LABEL = "straits"  # must stay as it is: with another, a seed would play other losses and delays
 KINDS = ("loss", "delay", "double", "reorder", "cut", "one way", "flap")
 FAULTS_BOUND = 1000  # at a time
-ROSTER, EXECUTORS = 1000, 1001  # the list service as a place, and the first executor; members count from 0
+REGISTRY, EXECUTORS = 1000, 1001  # the list service as a place, and the first executor; members count from 0
 
 
 class NetworkFault(NamedTuple):
--- a/petrelway/standin/parts.py
+++ b/petrelway/standin/parts.py
@@ -14,7 +14,7 @@
 from .machine import Marks
 from .packages import Shelf, site
 from .records import Record
-from .roster import Book, RosterFactory, changes, first_lines, tell
+from .registry import Book, RegistryFactory, changes, first_lines, tell
 from .script import Happening, Script, write
 from .store import Store, StoreClient, StoreProtocol
 from .traffic import functions
@@ -93,7 +93,7 @@
 
 
 def play_services(reactor, plan: Plan) -> None:
-    """Store and roster."""
+    """Store and registry."""
     record = plan.record("services", reactor)
     terms, day = plan.day["store"], plan.day
     store = Store(
@@ -108,7 +108,7 @@
     ports = plan.ports["executors"]
     for line in first_lines(day, plan.script, ports):
         book.lines[line.executor] = line
-    listening = [reactor.listenTCP(plan.ports["roster"], RosterFactory(book), interface="127.0.0.1")]
+    listening = [reactor.listenTCP(plan.ports["roster"], RegistryFactory(book), interface="127.0.0.1")]
     now = reactor.seconds() * 1e3
     for change in changes(day, plan.script, ports, plan.epoch_ms):
         reactor.callLater(max(0.0, change.told_ms - now) / 1e3, tell, book, change.line, change.at_ms)
@@ -123,7 +123,7 @@
                 reactor.callLater(
                     at,
                     lambda: listening.append(
-                        reactor.listenTCP(plan.ports["roster"], RosterFactory(book), interface="127.0.0.1")
+                        reactor.listenTCP(plan.ports["roster"], RegistryFactory(book), interface="127.0.0.1")
                     ),
                 )
     stay(reactor, plan, record)
--- a/petrelway/standin/roster.py
+++ b/petrelway/standin/registry.py
@@ -70,7 +70,7 @@
     def __init__(self, record) -> None:
         self.lines: dict[str, registry_codec.EndpointEntry] = {}
         self.serial = 0
-        self.followers: list[RosterServer] = []
+        self.followers: list[RegistryServer] = []
         self.record = record
         self.lose_next = False
 
@@ -92,7 +92,7 @@
             follower.drop()
 
 
-class RosterServer(protocol.Protocol):
+class RegistryServer(protocol.Protocol):
     def __init__(self, book: Book) -> None:
         self.book = book
         self.frames = Frames()
@@ -128,11 +128,11 @@
             self.book.followers.remove(self)
 
 
-class RosterFactory(protocol.Factory):
+class RegistryFactory(protocol.Factory):
     noisy = False
 
     def __init__(self, book: Book) -> None:
         self.book = book
 
     def buildProtocol(self, address):
-        return RosterServer(self.book)
+        return RegistryServer(self.book)
--- a/petrelway/standin/script.py
+++ b/petrelway/standin/script.py
@@ -8,7 +8,7 @@
 import random
 from typing import Any, NamedTuple
 
-from .fault_schedule import EXECUTORS, KINDS, ROSTER, NetworkFault
+from .fault_schedule import EXECUTORS, KINDS, REGISTRY, NetworkFault
 
 
 EXECUTORS_BOUND = 250  # behind the faulty network
@@ -27,7 +27,7 @@
 
 
 class Happening(NamedTuple):
-    """`who` is executor, front, store, client, roster or network; `number` which of them, -1 for all."""
+    """`who` is executor, front, store, client, registry or network; `number` which of them, -1 for all."""
 
     at_ms: float
     who: str
@@ -81,7 +81,7 @@
         if x.kind in KINDS:
             some = frozenset(x.on) or every
             if x.to == "roster":
-                others = frozenset([ROSTER])
+                others = frozenset([REGISTRY])
             elif x.to == "executors":
                 others = frozenset(EXECUTORS + n for n in x.others or range(EXECUTORS_BOUND))
             else:
--- a/petrelway/wire/registry_codec.py
+++ b/petrelway/wire/registry_codec.py
@@ -1,4 +1,4 @@
-"""The roster's protocol: bytes to calls, lines to bytes."""
+"""The registry's protocol: bytes to calls, lines to bytes."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     return message.front_end, message.process
 
 
-def from_roster(payload: bytes) -> tuple[int, bool, list[EndpointEntry]]:
+def from_registry(payload: bytes) -> tuple[int, bool, list[EndpointEntry]]:
     """Serial, whether the list is complete, and its lines. Raises WireError."""
     message = _parse(pb.FromRoster(), payload)
     if len(message.lines) > LINES_BOUND:
--- a/tests/compatibility/forms_records.py
+++ b/tests/compatibility/forms_records.py
@@ -26,7 +26,7 @@
 
 
 def memory_tree() -> dict[str, Any]:
-    """The day without members: a world in memory plays executors, store, roster and clients alone."""
+    """The day without members: a world in memory plays executors, store, registry and clients alone."""
     tree = read_form(TOPIC, "emulated_day")
     del tree["fleet_troubles"]
     hang = {"kind": "never_read", "at_s": 3, "len_s": 2, "on": [0]}
--- a/tests/compatibility/forms_wire.py
+++ b/tests/compatibility/forms_wire.py
@@ -1,4 +1,4 @@
-"""The protocols of workers, roster and store: each message as this software writes and reads it."""
+"""The protocols of workers, registry and store: each message as this software writes and reads it."""
 
 from __future__ import annotations
 
@@ -139,7 +139,7 @@
     if name.startswith(FOLLOW):
         return plain(registry_codec.from_follower(payload))
     if name.startswith(LISTED):
-        return plain(registry_codec.from_roster(payload))
+        return plain(registry_codec.from_registry(payload))
     heard = Recorder()
     (codec.from_front if name.startswith(FROM_FRONT) else codec.from_executor)(payload, heard)
     return plain(heard.calls)
--- a/tests/doubles.py
+++ b/tests/doubles.py
@@ -106,7 +106,7 @@
         self.said.append(("sent", serial, number, function))
 
     def cancelled(self, serial, number):
-        self.said.append(("withdrawn", serial, number))
+        self.said.append(("cancelled", serial, number))
 
     def load_requested(self, id, function, replicas, memory_mb, lanes):
         self.said.append(("load_requested", id, function, replicas))
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -16,7 +16,7 @@
 from petrelway.front.backoff import Backoff
 from petrelway.front.host import FAILED, SUCCEEDED, REJECTED, Answer, Function
 from petrelway.front.intake import BODY_BOUND, Intake
-from petrelway.front.roster import Follower
+from petrelway.front.registry import Follower
 from petrelway.interface import Warmth
 from petrelway.wire import registry_codec
 
@@ -249,7 +249,7 @@
     assert CATALOGUE.find("station-" + "a" * 400) is not None and time.process_time() - began < 1.0
 
 
-class RosterRig:
+class RegistryRig:
     def __init__(self):
         self.clock, self.net, self.log, self.heard = clock(), Net(), Log(), []
         self.follower = Follower(
@@ -277,7 +277,7 @@
         self.wire, self.pipe = self.net.accept()
 
 
-def test_roster_gaps_and_outages():
+def test_registry_gaps_and_outages():
     # lists told by serial and completeness; how many are heard before the link is closed for a gap, or None
     table = [
         ([(5, True), (6, False), (7, False)], 3, False),
@@ -287,12 +287,12 @@
         ([(5, True), (9, True), (10, False)], 3, False),
     ]
     for told, heard, gap in table:
-        rig = RosterRig()
+        rig = RegistryRig()
         rig.up()
         for serial, complete in told:
             rig.tell(serial, complete)
         assert (len(rig.heard), rig.pipe.aborted) == (heard, gap), told
-    rig = RosterRig()
+    rig = RegistryRig()
     rig.up()
     rig.tell(5, True, 3)
     rig.tell(7, False)  # a change was lost: the old list holds
@@ -304,7 +304,7 @@
     rig.follower.close()
     rig.wire.connectionLost(lost())
     assert rig.clock.getDelayedCalls() == []
-    rig = RosterRig()
+    rig = RegistryRig()
     rig.net.refuse()
     rig.follower.close()
     assert rig.clock.getDelayedCalls() == []
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -137,7 +137,7 @@
     assert rig.link.cancel_attempt((2, 0)) is Outcome.CANCELLED
     rig.send(3)
     assert rig.link.cancel_attempt((3, 0), Outcome.TIMEOUT) is Outcome.TIMEOUT
-    assert rig.heard.pull()[-1] == ("withdrawn", 3, 0)
+    assert rig.heard.pull()[-1] == ("cancelled", 3, 0)
     rig.say(ended(3, 0))  # too late: nobody hears of it twice
     assert rig.ears.ends == [] and rig.link.cancel_attempt((3, 0)) is None
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,7 +14,7 @@
 def test_one_final_answer():
     # executors, what ends the attempt (None: nothing), finished, decisions up to the end
     table = [
-        (2, None, None, ["SEND", "REJECT", "WITHDRAW"]),  # no answer: rejected before the client's time is up
+        (2, None, None, ["SEND", "REJECT", "CANCEL"]),  # no answer: rejected before the client's time is up
         (2, SUCCEEDED, True, ["SEND"]),
         (0, None, None, ["REJECT"]),  # an empty list
     ]
@@ -70,7 +70,7 @@
             assert getattr(at, group) == getattr(then, group)
     host = Host(4, ONE, seconds=True)  # one-shot: no second copy beside the first, however late
     host.take(remaining=3900.0)
-    assert verbs(host.pull(3899.0)) == ["SEND", "FAIL", "WITHDRAW"]
+    assert verbs(host.pull(3899.0)) == ["SEND", "FAIL", "CANCEL"]
 
 
 def test_attempt_limit():
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -29,15 +29,15 @@
 
 
 class Peer:
-    """A roster and an executor with plain sockets, for one front end."""
+    """A registry and an executor with plain sockets, for one front end."""
 
     def __init__(self):
-        self.roster, self.roster_port = listen()
+        self.registry, self.registry_port = listen()
         self.executor, self.executor_port = listen()
         self.said, self.frames = [], Frames()
 
     def serve(self):
-        self.follower, _ = self.roster.accept()
+        self.follower, _ = self.registry.accept()
         line = registry_codec.EndpointEntry(
             "e0", "127.0.0.1", self.executor_port, "a", "", 0, "ready", 1.0, 0.0
         )
@@ -59,7 +59,7 @@
                 codec.from_front(payload, self)
 
     def __getattr__(self, name):
-        if name in ("greeted", "sent", "withdrawn", "load_requested", "unloaded", "asked"):
+        if name in ("greeted", "sent", "cancelled", "load_requested", "unloaded", "asked"):
             return lambda *args: self.said.append((name, *args))
         raise AttributeError(name)
 
@@ -74,7 +74,7 @@
     settings = {
         "front_end": {"name": "x", "hall": "a"},
         "listen": {"port": port},
-        "roster": {"port": peer.roster_port},
+        "roster": {"port": peer.registry_port},
         "fleet": {"halls": ["a"]},
         "tariffs": [{"name": "t", "effect": "one-shot", "quoted_ms": 20000, "outer_ms": 60000}],
         "functions": [{"name": "f", "memory_mb": 1, "lanes": 1}],
@@ -92,7 +92,7 @@
     if process.poll() is None:
         process.kill()
     process.wait()
-    for sock in (peer.roster, peer.executor, peer.follower, peer.link):
+    for sock in (peer.registry, peer.executor, peer.follower, peer.link):
         sock.close()
 
 
@@ -163,7 +163,7 @@
     assert peer.hear("sent")
     process.kill()
     process.wait(WAIT_S)
-    assert peer.hear("withdrawn") is None  # the link ends
+    assert peer.hear("cancelled") is None  # the link ends
     try:
         assert status(client) is None
     except ConnectionError:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -26,7 +26,7 @@
         codec.send(7, 1, "s\n1", "f", 512.0, 4, "status", "north", 900.5, 120.0, "text/plain", b"x"),
         ("sent", 7, 1, "s\n1", "f", 512.0, 4, "status", "north", 900.5, 120.0, "text/plain", b"x"),
     ),
-    (codec.cancel_attempt(7, 1), ("withdrawn", 7, 1)),
+    (codec.cancel_attempt(7, 1), ("cancelled", 7, 1)),
     (codec.order(3, "f", 2, 512.0, 4), ("load_requested", 3, "f", 2, 512.0, 4)),
     (codec.unload("f"), ("unloaded", "f")),
     (codec.probe(9), ("asked", 9)),
@@ -99,7 +99,7 @@
             read(data, Side())
         except WireError:
             pass
-    for read in (registry_codec.from_roster, registry_codec.from_follower):
+    for read in (registry_codec.from_registry, registry_codec.from_follower):
         try:
             read(data)
         except WireError:
@@ -112,7 +112,7 @@
         for stage in registry_codec.STAGES
     ]
     (payload,) = Frames().feed(registry_codec.listed(4, False, lines))
-    assert registry_codec.from_roster(payload) == (4, False, lines)
+    assert registry_codec.from_registry(payload) == (4, False, lines)
     (payload,) = Frames().feed(registry_codec.follow("front-1", "p1"))
     assert registry_codec.from_follower(payload) == ("front-1", "p1")
     for bad in (
@@ -122,4 +122,4 @@
     ):
         (payload,) = Frames().feed(registry_codec.listed(4, True, [bad]))
         with pytest.raises(WireError):
-            registry_codec.from_roster(payload)
+            registry_codec.from_registry(payload)
