--- a/benchmarks/capacity_front_end.py
+++ b/benchmarks/capacity_front_end.py
@@ -16,7 +16,7 @@
 from capacity_front_end_functions import measure_functions
 
 from petrelway.capacity.slopes import Slope
-from petrelway.front.collecting import settle
+from petrelway.gateway.garbage_collection import settle
 
 
 def measure(quick: bool) -> list[Slope]:
--- a/benchmarks/capacity_front_end_calls.py
+++ b/benchmarks/capacity_front_end_calls.py
@@ -22,7 +22,7 @@
 from capacity_front_end_rig import DEADLINE_MS, QUIET_MS, REPEATS, FrontEndRig, cpu_us, endpoint, traced_bytes
 
 from petrelway.capacity.slopes import Evidence, Slope, fit
-from petrelway.interface import Decision, Outcome, Stage, Verb, Warmth
+from petrelway.routing.types import Decision, Outcome, Stage, Verb, Warmth
 
 CALLS_A_SECOND = [23.5, 47.0, 94.0, 188.0, 376.0, 752.0]  # 94: the mean at the target
 QUICK_CALLS_A_SECOND = [12.0, 24.0, 48.0, 96.0]
@@ -30,7 +30,7 @@
 FUNCTIONS = 100
 SERVICE_MS = 120.0
 LOAD_MS = 600.0
-TIDY_MS = 1000.0  # the module's own period, see petrelway/choice.py
+TIDY_MS = 1000.0  # the module's own period, see petrelway/routing/router.py
 LIST_CHANGE_MS = 1000.0  # between two changes of the list
 WARM_UP_S = 5.0
 MEASURED_S = 10.0
--- a/benchmarks/capacity_front_end_fleet.py
+++ b/benchmarks/capacity_front_end_fleet.py
@@ -24,9 +24,9 @@
 from twisted.internet import defer, task
 
 from petrelway.capacity.slopes import Evidence, Slope, fit
-from petrelway.front.host import Host
-from petrelway.interface import Stage
-from petrelway.endpoint_entry import EndpointEntry
+from petrelway.common.endpoint_entry import EndpointEntry
+from petrelway.gateway.dispatcher import Host
+from petrelway.routing.types import Stage
 from petrelway.wire import codec
 
 DIMENSION = "executor listed"
--- a/benchmarks/capacity_front_end_functions.py
+++ b/benchmarks/capacity_front_end_functions.py
@@ -8,7 +8,7 @@
 from capacity_front_end_rig import QUIET_MS, FrontEndRig, cpu_us, median_points, traced_bytes
 
 from petrelway.capacity.slopes import Evidence, Slope, fit
-from petrelway.interface import Stage
+from petrelway.routing.types import Stage
 
 FUNCTION_SIZES = [800, 1600, 3200, 6400, 12_800, 25_600, 51_200, 102_400]
 CALLED_SIZES = [400, 800, 1600, 3200, 6400, 12_800, 25_600, 51_200]
--- a/benchmarks/capacity_front_end_rig.py
+++ b/benchmarks/capacity_front_end_rig.py
@@ -1,6 +1,6 @@
 """One front end's decision module under the hand of the benchmark: its fleet, turns, CPU and memory.
 
-Stands in the place of the host: it gives inputs to `petrelway.choice.FrontEnd` and pulls decisions until
+Stands in the place of the host: it gives inputs to `petrelway.routing.router.FrontEnd` and pulls decisions until
 there is none, in simulated time. Only the module's public inputs are used.
 """
 
@@ -13,22 +13,22 @@
 import tracemalloc
 from collections.abc import Callable, Sequence
 
-from petrelway.choice import FrontEnd
-from petrelway.interface import (
+from petrelway.routing.router import FrontEnd
+from petrelway.routing.types import (
+    Capabilities,
     ColdRule,
-    Tenant,
     Decision,
+    Endpoint,
     Idempotency,
     Keeping,
-    Endpoint,
     LoadRation,
     Outcome,
-    Capabilities,
     Place,
     Released,
+    RequestClass,
     Scope,
     Stage,
-    RequestClass,
+    Tenant,
     Verb,
     Warmth,
 )
--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -45,8 +45,8 @@
 )
 
 from petrelway.capacity.slopes import Evidence, Slope
-from petrelway.standin.hollow import FleetPlan, HollowGroup
-from petrelway.standin.hollow_memory import informed_member, informed_member_bytes, plan_and_datagrams
+from petrelway.fakes.hollow_members import FleetPlan, HollowGroup
+from petrelway.fakes.hollow_memory import informed_member, informed_member_bytes, plan_and_datagrams
 
 FLEET_SIZES = (62, 125, 250, 500, 1000, 2000)
 LIST_SIZES = (500, 1000, 2000, 4000, 8000, 17_000)
--- a/benchmarks/capacity_members_emulated.py
+++ b/benchmarks/capacity_members_emulated.py
@@ -21,8 +21,8 @@
 )
 
 from petrelway.capacity.slopes import Evidence, Slope
-from petrelway.emulator.introduced import CountedSea, introduced_sea
-from petrelway.fleet.words import State
+from petrelway.emulator.settled_membership import CountedSea, introduced_sea
+from petrelway.membership.messages import State
 
 SIZES = (125, 250, 500, 1000)
 QUICK_SIZES = (16, 32, 64, 128)
--- a/benchmarks/capacity_ranking.py
+++ b/benchmarks/capacity_ranking.py
@@ -23,12 +23,13 @@
 from capacity_front_end_rig import DEADLINE_MS, START_MS, new_front_end
 from emulator import tree
 
-from petrelway import choice_state, ranking
-from petrelway.choice import FrontEnd, Function
 from petrelway.emulator.day import EmulatedDay
-from petrelway.interface import Endpoint, Stage, Verb
-from petrelway.rehearsal.report import percentile, sums
-from petrelway.rules.checker import figures, judge
+from petrelway.invariants.checker import figures, judge
+from petrelway.routing import ranking
+from petrelway.routing import state as choice_state
+from petrelway.routing.router import FrontEnd, Function
+from petrelway.routing.types import Endpoint, Stage, Verb
+from petrelway.scenarios.report import percentile, sums
 
 WHOLE_LIST, WINDOW = "whole list", "window"
 EVERY_EXECUTOR = 1 << 40  # a window as large as any fleet
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -17,20 +17,20 @@
 import time
 from pathlib import Path
 
-from petrelway import choice
-from petrelway.interface import (
+from petrelway.routing import router as choice
+from petrelway.routing.types import (
+    Capabilities,
     ColdRule,
-    Tenant,
+    Endpoint,
     Idempotency,
     Keeping,
-    Endpoint,
     LoadRation,
     Outcome,
-    Capabilities,
     Place,
+    RequestClass,
     Scope,
     Stage,
-    RequestClass,
+    Tenant,
     Verb,
     Warmth,
 )
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -13,9 +13,9 @@
 from wheel import Heap, Wheel
 
 from petrelway.emulator.day import EmulatedDay
-from petrelway.rehearsal.report import sums
-from petrelway.rules.checker import figures, judge
-from petrelway.standin.memory import World
+from petrelway.fakes.in_memory_network import World
+from petrelway.invariants.checker import figures, judge
+from petrelway.scenarios.report import sums
 
 #        front ends, executors, requests/s, seconds, functions
 SIZES = [
--- a/benchmarks/hollow_rig.py
+++ b/benchmarks/hollow_rig.py
@@ -13,7 +13,7 @@
 import msgspec
 from member_quantities import FIRST_OF_RACK, rack_of
 
-from petrelway.standin.hollow import FleetPlan, Report
+from petrelway.fakes.hollow_members import FleetPlan, Report
 
 UNDER_MEASUREMENT = FIRST_OF_RACK  # members with a process each; their CPU is averaged
 HOLLOW_PROCESSES = 3
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -19,18 +19,18 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from petrelway.emulator import partners
+from petrelway.emulator import quota_model as partners
 from petrelway.emulator.day import EmulatedDay
-from petrelway.emulator.rain import draw
-from petrelway.emulator.sea import Sea
-from petrelway.fleet.parts import WAIT_MS
-from petrelway.fleet.words import State
-from petrelway.rules import fleet
-from petrelway.rules.checker import figures, judge
-from petrelway.rules.explorer import explore
+from petrelway.emulator.membership_simulation import Sea
+from petrelway.emulator.random_membership_faults import draw
+from petrelway.fakes.fault_schedule import FaultSchedule, NetworkFault
+from petrelway.fakes.in_memory_network import World
+from petrelway.invariants import membership_checker as fleet
+from petrelway.invariants.checker import figures, judge
+from petrelway.invariants.state_explorer import explore
+from petrelway.membership.messages import State
+from petrelway.membership.quota_lease import WAIT_MS
 from petrelway.settings.reading import evaluate
-from petrelway.standin.memory import World
-from petrelway.standin.fault_schedule import NetworkFault, FaultSchedule
 
 TORN = Path(__file__).parent.parent / "examples" / "torn-day.jsonnet"
 TOLD, BY_PARTS, TRUE = "number told", "parts", "true number"
--- a/benchmarks/node.py
+++ b/benchmarks/node.py
@@ -20,7 +20,7 @@
 import psutil
 from front import play
 
-from petrelway.standin.platform import SETTINGS, Bus, Executor, configuration, request
+from petrelway.fakes.platform_peers import SETTINGS, Bus, Executor, configuration, request
 
 EXECUTORS, FUNCTIONS, CONNECTIONS, WORK_MS = 12, 60, 24, 20.0
 WARM_UP_S = 2.0
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -15,13 +15,13 @@
 
 from emulator import tree
 
-from petrelway import choice
-from petrelway.choice import FrontEnd
 from petrelway.emulator.day import EmulatedDay
-from petrelway.interface import Decision, Verb
-from petrelway.rehearsal.baselines import LeastLoaded, RandomChoice
-from petrelway.rehearsal.report import sums
-from petrelway.rules.checker import figures, judge
+from petrelway.invariants.checker import figures, judge
+from petrelway.routing import router as choice
+from petrelway.routing.router import FrontEnd
+from petrelway.routing.types import Decision, Verb
+from petrelway.scenarios.baselines import LeastLoaded, RandomChoice
+from petrelway.scenarios.report import sums
 
 SECONDS = 20
 
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -28,15 +28,15 @@
 from functools import partial
 from pathlib import Path
 
-from petrelway.emulator import quorum
-from petrelway.emulator.council import OWN, Council, make
-from petrelway.emulator.storm import play
-from petrelway.policy.adopter import Adopter, Terms
+from petrelway.emulator import policy_model as quorum
+from petrelway.emulator.policy_simulation import OWN, Council, make
+from petrelway.emulator.random_policy_faults import play
+from petrelway.fakes.fault_schedule import FaultSchedule
+from petrelway.fakes.in_memory_network import World
+from petrelway.invariants.policy_checker import judge
 from petrelway.policy.document import digest
-from petrelway.policy.words import Told
-from petrelway.rules.policy import judge
-from petrelway.standin.memory import World
-from petrelway.standin.fault_schedule import FaultSchedule
+from petrelway.policy.messages import Told
+from petrelway.policy.policy_holder import Adopter, Terms
 
 ROOT = Path(__file__).parent.parent
 
@@ -229,7 +229,7 @@
     sys.path.insert(0, str(ROOT / "tests"))
     from test_policy_process import Fleet
 
-    from petrelway.rules.records import read
+    from petrelway.invariants.records import read
 
     folder = Path(tempfile.mkdtemp(prefix="petrelway-row-"))
     fleet, took = Fleet(folder, 3000), []
--- a/benchmarks/worker.py
+++ b/benchmarks/worker.py
@@ -27,7 +27,7 @@
 
 from petrelway.wire import codec
 from petrelway.wire.framing import Frames
-from petrelway.worker.keeping import Keeper
+from petrelway.worker.eviction import Keeper
 from petrelway.worker.package import build
 
 
--- a/petrelway/capacity/entries.py
+++ b/petrelway/capacity/entries.py
@@ -10,15 +10,15 @@
 from enum import Enum
 from typing import NamedTuple
 
-from ..platform.bus import RECORDS_BOUND
-from ..policy.words import MEMBERS_BOUND
+from ..platform.discovery_codec import RECORDS_BOUND
+from ..policy.messages import MEMBERS_BOUND
 from .size import Size
 from .workload import Workload
 
 BYTES_A_KB = 1e3
 BYTES_A_MB = 1e6
 US_A_S = 1e6
-WORKER_LINKS_BOUND = 1024  # LINKS_BOUND of petrelway/worker/serving.py, which is no import for pure code
+WORKER_LINKS_BOUND = 1024  # LINKS_BOUND of petrelway/worker/service.py, which is no import for pure code
 
 Measure = Callable[[Workload], float]
 
--- a/petrelway/capacity/front_end.py
+++ b/petrelway/capacity/front_end.py
@@ -4,7 +4,7 @@
 
 from functools import partial
 
-from ..platform.bus import HEAD, RECORD
+from ..platform.discovery_codec import HEAD, RECORD
 from .entries import (
     COLD_START,
     CONTROL_BYTES,
--- a/petrelway/capacity/membership.py
+++ b/petrelway/capacity/membership.py
@@ -4,7 +4,7 @@
 
 from functools import partial
 
-from ..fleet.words import DATAGRAM_BOUND
+from ..membership.messages import DATAGRAM_BOUND
 from .entries import (
     CONTROL_BYTES,
     CONTROL_CPU,
--- a/petrelway/capacity/size.py
+++ b/petrelway/capacity/size.py
@@ -7,7 +7,7 @@
 from msgspec import Meta
 
 from ..settings.front import Strict
-from ..settings.reading import SettingsProblem, SettingsError, evaluate, sections
+from ..settings.reading import SettingsError, SettingsProblem, evaluate, sections
 
 Count = Annotated[int, Meta(ge=1, le=1_000_000_000)]
 Times = Annotated[float, Meta(ge=0, le=1e9)]
--- a/petrelway/capacity/surroundings.py
+++ b/petrelway/capacity/surroundings.py
@@ -5,7 +5,7 @@
 
 from functools import partial
 
-from ..platform.bus import HEAD, RECORD
+from ..platform.discovery_codec import HEAD, RECORD
 from .entries import (
     EVENT_RECORDS,
     WORKER_LINKS,
--- a/petrelway/commands/__init__.py
+++ b/petrelway/commands/__init__.py
@@ -10,16 +10,16 @@
 import click
 
 GROUPS = {
-    "fronts": ("serve", "check"),
-    "looks": ("status", "explain", "top", "members"),
-    "rehearsals": ("rehearse", "judge"),
-    "emulations": ("emulate", "experiment", "plot", "compare", "hunt"),
-    "loads": ("load",),
-    "standins": ("standin",),
-    "workers": ("worker", "store", "package"),
-    "nodes": ("node",),
-    "policies": ("policy",),
-    "capacities": ("capacity",),
+    "serve": ("serve", "check"),
+    "inspect": ("status", "explain", "top", "members"),
+    "rehearse": ("rehearse", "judge"),
+    "emulate": ("emulate", "experiment", "plot", "compare", "hunt"),
+    "load": ("load",),
+    "fakes": ("standin",),
+    "worker": ("worker", "store", "package"),
+    "node": ("node",),
+    "policy": ("policy",),
+    "capacity": ("capacity",),
 }
 
 
--- a/petrelway/commands/capacities.py
+++ b/petrelway/commands/capacity.py
@@ -7,7 +7,7 @@
 
 import click
 
-from .fronts import read_or_exit
+from .serve import read_or_exit
 
 
 @click.command()
--- a/petrelway/commands/emulations.py
+++ b/petrelway/commands/emulate.py
@@ -12,7 +12,7 @@
 
 from ..settings.days import check_day
 from ..settings.reading import SettingsError, evaluate
-from .fronts import read_or_exit
+from .serve import read_or_exit
 
 POLICY_WORDS = ["petrelway", "random", "least-loaded"]
 
@@ -26,11 +26,11 @@
 def emulate(day, policy, seed, record, as_json) -> None:
     """Play DAY (Jsonnet) in simulated time and check the five rules. Exit 1 if one is broken."""
     from ..emulator.day import EmulatedDay
-    from ..rehearsal.baselines import POLICIES
-    from ..rehearsal.report import as_json as to_json
-    from ..rehearsal.report import sums, text
-    from ..rules.checker import figures, judge
-    from ..rules.fleet import judge_day
+    from ..invariants.checker import figures, judge
+    from ..invariants.membership_checker import judge_day
+    from ..scenarios.baselines import POLICIES
+    from ..scenarios.report import as_json as to_json
+    from ..scenarios.report import sums, text
 
     def make(file: str) -> EmulatedDay:
         tree = evaluate(file)
@@ -207,7 +207,7 @@
     import multiprocessing
     from concurrent.futures import ProcessPoolExecutor
 
-    from ..emulator.hunt import Find, all_kinds, cut_down, drawn
+    from ..emulator.fault_search import Find, all_kinds, cut_down, drawn
     from ..emulator.runs import judged
 
     base, place = read_or_exit(_read_day, day), _place(output)
--- a/petrelway/commands/standins.py
+++ b/petrelway/commands/fakes.py
@@ -6,7 +6,7 @@
 
 import click
 
-from ..standin.fault_schedule import KINDS
+from ..fakes.fault_schedule import KINDS
 
 
 @click.group()
@@ -15,8 +15,8 @@
 
 
 def _run(play, folder: str, *numbers: int) -> None:
-    from ..clock import steady_reactor
-    from ..standin.parts import Plan
+    from ..common.process_clock import steady_reactor
+    from ..fakes.scenario_processes import Plan
 
     reactor = steady_reactor()
     failed = []
@@ -39,7 +39,7 @@
 @click.argument("zone", type=int, metavar="HALL")
 def executors(folder: str, zone: int) -> None:
     """All executors of one zone."""
-    from ..standin.parts import play_executors
+    from ..fakes.scenario_processes import play_executors
 
     _run(play_executors, folder, zone)
 
@@ -48,7 +48,7 @@
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 def services(folder: str) -> None:
     """Model store and registry."""
-    from ..standin.parts import play_services
+    from ..fakes.scenario_processes import play_services
 
     _run(play_services, folder)
 
@@ -58,7 +58,7 @@
 @click.argument("number", type=int)
 def clients(folder: str, number: int) -> None:
     """One of the client processes."""
-    from ..standin.parts import play_clients
+    from ..fakes.scenario_processes import play_clients
 
     _run(play_clients, folder, number)
 
@@ -67,7 +67,7 @@
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 def packages(folder: str) -> None:
     """The store of real packages, for a day with real workers."""
-    from ..standin.parts import play_packages
+    from ..fakes.scenario_processes import play_packages
 
     _run(play_packages, folder)
 
@@ -76,7 +76,7 @@
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 def fault_proxy(folder: str) -> None:
     """The faulty network between front ends."""
-    from ..standin.fault_proxy import play_fault_proxy
+    from ..fakes.fault_proxy import play_fault_proxy
 
     _run(play_fault_proxy, folder)
 
@@ -93,7 +93,7 @@
     folder: str, kind: str, some: str, others: str, len_s: float, size: float, extra: float
 ) -> None:
     """Put a fault between front ends of the rehearsal in FOLDER while it plays, or clear all."""
-    from ..standin.fault_proxy import ask
+    from ..fakes.fault_proxy import ask
 
     try:
         asked = {
@@ -136,8 +136,8 @@
 
     Reads go, report, settle, stop from standard input, one a line; answers by a report as JSON.
     """
-    from ..standin.hollow import FleetPlan, HollowMembersError
-    from ..standin.hollow_process import run_hollow
+    from ..fakes.hollow_members import FleetPlan, HollowMembersError
+    from ..fakes.hollow_process import run_hollow
 
     try:
         plan = FleetPlan(size, network, port, seed)
--- a/petrelway/commands/loads.py
+++ b/petrelway/commands/load.py
@@ -7,7 +7,7 @@
 
 import click
 
-from .fronts import read_or_exit
+from .serve import read_or_exit
 
 
 @click.command()
@@ -16,8 +16,8 @@
 @click.option("--json", "as_json", is_flag=True, help="Print the figures as JSON, by second too.")
 def load(target, file, as_json) -> None:
     """Send the load of FILE (Jsonnet) to the front end at TARGET, 127.0.0.1:PORT, in open loop."""
-    from ..load.running import LoadRunError, play, text
     from ..load.plan import read_load
+    from ..load.running import LoadRunError, play, text
 
     address, _, port = target.rpartition(":")
     if address not in ("127.0.0.1", "localhost") or not port.isdigit() or not 0 < int(port) < 65536:
--- a/petrelway/commands/nodes.py
+++ b/petrelway/commands/node.py
@@ -9,9 +9,9 @@
 
 import click
 
-from .. import logs
-from ..platform.faults import ProtocolError
-from ..platform.told import read_told
+from ..common import structured_logs as logs
+from ..platform.configuration import read_told
+from ..platform.errors import ProtocolError
 
 
 def _refuse(text: str) -> NoReturn:
@@ -46,8 +46,8 @@
 
     from twisted.internet import error
 
-    from ..clock import process_clock, steady_reactor
-    from ..front.collecting import settle
+    from ..common.process_clock import process_clock, steady_reactor
+    from ..gateway.garbage_collection import settle
     from ..node.service import NodeService
     from ..sockets.starting import with_patience
 
--- a/petrelway/commands/policies.py
+++ b/petrelway/commands/policy.py
@@ -17,8 +17,8 @@
 from ..policy.document import canonical, check, differences
 from ..settings.front import Fleet, FrontEndPlace
 from ..settings.reading import evaluate
-from .fronts import read_or_exit
-from .looks import CONSOLE, WAIT_S, ask
+from .inspect import CONSOLE, WAIT_S, ask
+from .serve import read_or_exit
 
 LOOK_S = 0.3  # how a change stands is asked this often
 ENDS = {"adopted": 0, "abandoned": 1, "refused": 1}
--- a/petrelway/commands/rehearsals.py
+++ b/petrelway/commands/rehearse.py
@@ -10,13 +10,13 @@
 
 import click
 
-from ..rehearsal.report import told_of_fleet
-from ..rules.checker import figures, judge
-from ..rules.fleet import judge_day
-from ..rules.records import RecordError, read
+from ..invariants.checker import figures, judge
+from ..invariants.membership_checker import judge_day
+from ..invariants.records import RecordError, read
+from ..scenarios.report import told_of_fleet
 from ..settings.days import check_day, check_playable
 from ..settings.reading import SettingsError, evaluate
-from .fronts import read_or_exit
+from .serve import read_or_exit
 
 
 def _progress(length_s: float):
@@ -49,13 +49,13 @@
 @click.option("--seed", type=int, help="Another seed than the day's.")
 def rehearse(day, bench_day, scale, as_json, record, policy, consoles, seed) -> None:
     """Start everything on loopback, play DAY (Jsonnet), check the five rules. Exit 1 if one is broken."""
-    from ..clock import share_scale, steady_reactor
-    from ..rehearsal.benchday import convert
-    from ..rehearsal.conductor import Conductor, ProcessFailedError, Ports, write_plan
-    from ..rehearsal.realworkers import PLAYED, unplayable
-    from ..rehearsal.report import as_json as to_json
-    from ..rehearsal.report import report, text
-    from ..standin.script import write
+    from ..common.process_clock import share_scale, steady_reactor
+    from ..fakes.fault_script import write
+    from ..scenarios.bench_day import convert
+    from ..scenarios.real_workers import PLAYED, unplayable
+    from ..scenarios.report import as_json as to_json
+    from ..scenarios.report import report, text
+    from ..scenarios.runner import Conductor, Ports, ProcessFailedError, write_plan
 
     reactor = steady_reactor()
     share_scale()
--- a/petrelway/commands/fronts.py
+++ b/petrelway/commands/serve.py
@@ -8,7 +8,7 @@
 
 import click
 
-from .. import logs
+from ..common import structured_logs as logs
 from ..settings.front import read_front_end
 from ..settings.reading import SettingsError
 
@@ -51,13 +51,13 @@
     found = read_or_exit(read_front_end, file)
     from twisted.internet import error
 
-    from ..clock import process_clock, steady_reactor
+    from ..common.process_clock import process_clock, steady_reactor
     from ..daemon.service import Daemon
-    from ..front.collecting import settle
-    from ..front.service import FrontEndService
-    from ..policy.store import StorageError
-    from ..rehearsal.baselines import POLICIES
-    from ..standin.records import Record
+    from ..fakes.records import Record
+    from ..gateway.garbage_collection import settle
+    from ..gateway.service import FrontEndService
+    from ..policy.raft_storage import StorageError
+    from ..scenarios.baselines import POLICIES
 
     reactor = steady_reactor()
     wanted = found["log"]
--- a/petrelway/commands/workers.py
+++ b/petrelway/commands/worker.py
@@ -7,9 +7,9 @@
 
 import click
 
-from .. import logs
+from ..common import structured_logs as logs
 from ..settings.worker import read_worker
-from .fronts import read_or_exit
+from .serve import read_or_exit
 
 
 @click.group()
@@ -29,11 +29,11 @@
     found = read_or_exit(read_worker, file)
     from twisted.internet import error
 
-    from ..clock import steady_reactor
-    from ..worker.desk import Desk
-    from ..worker.fetching import Store
-    from ..worker.images import Images
-    from ..worker.serving import Worker
+    from ..common.process_clock import steady_reactor
+    from ..worker.call_scheduler import Desk
+    from ..worker.package_cache import Images
+    from ..worker.package_fetch import Store
+    from ..worker.service import Worker
 
     reactor = steady_reactor()
     place, listen, wanted = found["worker"], found["listen"], found["log"]
@@ -42,7 +42,7 @@
     logs.library_errors(log)
     written = None
     if record:
-        from ..standin.records import Record
+        from ..fakes.records import Record
 
         written = Record(record, reactor, epoch_ms)
         reactor.addSystemEventTrigger("after", "shutdown", written.close)
@@ -122,8 +122,8 @@
 )
 def serve_store(folder: str, port: int, takes: int, limit: int, fetch_ms: float) -> None:
     """Serve the packages (*.tar) in FOLDER by name and digest on loopback."""
-    from ..clock import steady_reactor
-    from ..standin.packages import Shelf, site
+    from ..common.process_clock import steady_reactor
+    from ..fakes.package_store import Shelf, site
     from ..worker.package import PackageError
 
     reactor = steady_reactor()
--- a/petrelway/terms.py
+++ b/petrelway/common/deployment_settings.py
@@ -9,17 +9,17 @@
 
 from typing import Any, NamedTuple
 
-from .choice import FrontEnd
-from .interface import (
+from ..routing.router import FrontEnd
+from ..routing.types import (
+    Capabilities,
     ColdRule,
-    Tenant,
     Idempotency,
     Keeping,
     LoadRation,
-    Capabilities,
     Place,
-    Scope,
     RequestClass,
+    Scope,
+    Tenant,
 )
 
 EFFECTS = {
@@ -72,7 +72,7 @@
 
     >>> Part({"aimS": "1"}, "settings").number("aimS", 1e3)
     Traceback (most recent call last):
-    petrelway.terms.DeploymentSettingsError: settings.aimS: found '1'; allowed: a number from 0 to 1e+09
+    petrelway.common.deployment_settings.DeploymentSettingsError: settings.aimS: found '1'; allowed: a number from 0 to 1e+09
     """
 
     def __init__(self, told: Any, path: str) -> None:
@@ -167,7 +167,7 @@
 
     >>> read_terms({"classes": [{"name": "a", "aimS": 1.0, "effect": "dedup", "dedupScope": "all"}]})
     Traceback (most recent call last):
-    petrelway.terms.DeploymentSettingsError: settings.classes[0].windowS: found nothing; allowed: a number from 0 to 1e+06
+    petrelway.common.deployment_settings.DeploymentSettingsError: settings.classes[0].windowS: found nothing; allowed: a number from 0 to 1e+06
     """
     told = Part(settings, "settings")
     classes, orgs = told.parts("classes"), told.parts("orgs")
--- a/petrelway/clock.py
+++ b/petrelway/common/process_clock.py
@@ -74,7 +74,7 @@
 def steady_reactor():
     """This process's reactor, on its clock: the only way to one. Raises OSError if the system is short."""
     if "twisted.internet.reactor" not in sys.modules:
-        from .sockets.reactor import install
+        from ..sockets.reactor import install
 
         install()
     from twisted.internet import reactor
--- a/petrelway/console/explainer.py
+++ b/petrelway/console/explainer.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ..choice import AILING_PACE, Executor, FrontEnd
-from ..interface import Stage
+from ..routing.router import AILING_PACE, Executor, FrontEnd
+from ..routing.types import Stage
 
 
 def executor(fe: FrontEnd, e: Executor, now: float, name: str, zone: str) -> dict[str, Any]:
--- a/petrelway/console/serving.py
+++ b/petrelway/console/serving.py
@@ -16,7 +16,7 @@
 
 from ..background.planner import Class
 from ..background.running import Background, RefusedError
-from ..policy.words import Propose
+from ..policy.messages import Propose
 from . import pages
 
 HERE = Path(__file__).parent
--- a/petrelway/daemon/service.py
+++ b/petrelway/daemon/service.py
@@ -11,12 +11,12 @@
 
 from ..background.planner import Class, Planner
 from ..background.running import Background
-from ..choice import FrontEnd
+from ..common.structured_logs import Lines
 from ..console.serving import Console, read_token
 from ..console.telemetry import Telemetry
-from ..front.ask import Ask
-from ..front.service import FrontEndService
-from ..logs import Lines
+from ..gateway.cloudevent_requests import Ask
+from ..gateway.service import FrontEndService
+from ..routing.router import FrontEnd
 from ..sockets.listening import listen_tcp
 from .shedding import Shedder, Step
 
--- a/petrelway/emulator/clients.py
+++ b/petrelway/emulator/clients.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..front.host import Answer, Function
-from ..standin.memory import World
-from ..standin.manners import Again, Manners
-from ..standin.script import Happening
-from ..standin.traffic import Asked, Traffic
-from .fronts import Front
-from .links import Cable
+from ..fakes.fault_script import Happening
+from ..fakes.in_memory_network import World
+from ..fakes.retry_behaviour import Again, Manners
+from ..fakes.traffic import Asked, Traffic
+from ..gateway.dispatcher import Answer, Function
+from .executor_channel import Cable
+from .front_ends import Front
 from .network import Network
 
 OUTSIDE = -1
--- a/petrelway/emulator/day.py
+++ b/petrelway/emulator/day.py
@@ -9,25 +9,25 @@
 
 import msgspec
 
-from ..choice import FrontEnd
-from ..rehearsal.fronts import front_settings
-from ..rehearsal.inmemory import Quiet
+from ..fakes.endpoint_registry import Book, changes, first_lines, tell
+from ..fakes.executor_model import Marks
+from ..fakes.fault_schedule import FaultSchedule, fault_random_source
+from ..fakes.fault_script import Happening, late, network_faults, other_ways, write
+from ..fakes.in_memory_network import Process, World
+from ..fakes.model_store import Store
+from ..fakes.process_lifecycle import Life
+from ..fakes.traffic import functions
+from ..routing.router import FrontEnd
+from ..scenarios.front_end_settings import front_settings
+from ..scenarios.inmemory import Quiet
 from ..settings.days import check_day
 from ..settings.front import check_front_end
-from ..settings.reading import SettingsProblem, SettingsError
-from ..standin.life import Life
-from ..standin.machine import Marks
-from ..standin.memory import Process, World
-from ..standin.registry import Book, changes, first_lines, tell
-from ..standin.script import Happening, late, network_faults, other_ways, write
-from ..standin.store import Store
-from ..standin.fault_schedule import FaultSchedule, fault_random_source
-from ..standin.traffic import functions
+from ..settings.reading import SettingsError, SettingsProblem
 from .clients import Clients
-from .fronts import CENTRE, Front, Place
-from .links import Cable
+from .executor_channel import Cable
+from .front_ends import CENTRE, Front, Place
+from .membership_simulation import Sea
 from .network import Network
-from .sea import Sea
 
 LEAD_MS = 100.0  # the front ends hear their first lists before the day begins
 LEAVE_MS = 200.0  # what is on its way to a front end that leaves still reaches it
--- a/petrelway/emulator/links.py
+++ b/petrelway/emulator/executor_channel.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..front.backoff import Backoff
-from ..front.link_base import NO_LOAD, LinkListener, LinkReports, Question
-from ..front.links import GREETING_MS, RETRY_LEAST_MS, RETRY_MOST_MS
-from ..front.proof import Key
-from ..interface import Outcome
-from ..standin.life import Life
-from ..standin.machine import Work
-from ..standin.memory import World
+from ..fakes.executor_model import Work
+from ..fakes.in_memory_network import World
+from ..fakes.process_lifecycle import Life
+from ..gateway.attempt_ledger import Key
+from ..gateway.backoff import Backoff
+from ..gateway.channel_base import NO_LOAD, LinkListener, LinkReports, Question
+from ..gateway.executor_channel import GREETING_MS, RETRY_LEAST_MS, RETRY_MOST_MS
+from ..routing.types import Outcome
 from .network import DIAL_MS, Network
 
 WAITING_BOUND = 1024  # messages that nobody reads or that a cut keeps; past it the link is broken off
--- a/petrelway/emulator/experiment.py
+++ b/petrelway/emulator/experiment.py
@@ -17,10 +17,10 @@
 
 from msgspec import Meta
 
-from ..rehearsal.baselines import POLICIES
+from ..scenarios.baselines import POLICIES
 from ..settings.days import check_day
 from ..settings.front import Name, Strict
-from ..settings.reading import SettingsProblem, SettingsError, evaluate, sections
+from ..settings.reading import SettingsError, SettingsProblem, evaluate, sections
 from .results import Results, load
 from .runs import made_by, run
 
--- a/petrelway/emulator/fronts.py
+++ b/petrelway/emulator/front_ends.py
@@ -8,18 +8,18 @@
 
 from twisted.internet import defer
 
-from ..choice import FrontEnd
-from ..front.backoff import Backoff
-from ..front.host import Answer, Function, Host
-from ..front.registry import RETRY_LEAST_MS, RETRY_MOST_MS
-from ..front.service import decider, note_uses
-from ..standin.life import Life
-from ..standin.memory import Process, World
-from ..standin.registry import Book
+from ..fakes.endpoint_registry import Book
+from ..fakes.in_memory_network import Process, World
+from ..fakes.process_lifecycle import Life
+from ..gateway.backoff import Backoff
+from ..gateway.dispatcher import Answer, Function, Host
+from ..gateway.registry_client import RETRY_LEAST_MS, RETRY_MOST_MS
+from ..gateway.service import decider, note_uses
+from ..routing.router import FrontEnd
 from ..wire.registry_codec import EndpointEntry
-from .links import Cable, EmulatedLink
+from .executor_channel import Cable, EmulatedLink
+from .membership_simulation import Sea
 from .network import Network
-from .sea import Sea
 
 CENTRE = 0  # the zone where registry and store are
 
--- a/petrelway/emulator/sea.py
+++ b/petrelway/emulator/membership_simulation.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..fleet.members import Change, Decision, Members, Verb, Whole
-from ..fleet.parts import Held, Parts
-from ..fleet.words import Word, digest, write
-from ..interface import Part
-from ..standin.memory import Process, World
-from ..standin.fault_schedule import FaultSchedule
+from ..fakes.fault_schedule import FaultSchedule
+from ..fakes.in_memory_network import Process, World
+from ..membership.messages import Word, digest, write
+from ..membership.quota_lease import Held, Parts
+from ..membership.swim import Change, Decision, Members, Verb, Whole
+from ..routing.types import Part
 
 DIAL_MS = 0.5  # there and back on an idle network
 
--- a/petrelway/emulator/quorum.py
+++ b/petrelway/emulator/policy_model.py
@@ -14,14 +14,14 @@
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
-from ..policy.adopter import Terms
-from ..policy.changes import Try
+from ..policy.change_coordinator import Try
 from ..policy.document import digest
-from ..policy.keepers import Role
-from ..policy.party import Keep, Party, Tell
-from ..policy.store import after
-from ..policy.words import Kept, Progress, Propose
-from .council import OWN, make
+from ..policy.messages import Kept, Progress, Propose
+from ..policy.policy_holder import Terms
+from ..policy.policy_member import Keep, Party, Tell
+from ..policy.raft import Role
+from ..policy.raft_storage import after
+from .policy_simulation import OWN, make
 
 STEP_MS = 500.0
 APART_MS = 50.0
--- a/petrelway/emulator/council.py
+++ b/petrelway/emulator/policy_simulation.py
@@ -7,15 +7,15 @@
 from collections import Counter
 from typing import Any
 
-from ..policy import ledger
-from ..policy.adopter import Terms
-from ..policy.changes import Try
+from ..fakes.fault_schedule import FaultSchedule
+from ..fakes.in_memory_network import Process, World
+from ..policy import state_machine as ledger
+from ..policy.change_coordinator import Try
 from ..policy.document import digest, stops
-from ..policy.party import Keep, Party, Tell
-from ..policy.store import after
-from ..policy.words import Kept, Progress, Propose, read, write
-from ..standin.memory import Process, World
-from ..standin.fault_schedule import FaultSchedule
+from ..policy.messages import Kept, Progress, Propose, read, write
+from ..policy.policy_holder import Terms
+from ..policy.policy_member import Keep, Party, Tell
+from ..policy.raft_storage import after
 from ..wire.framing import HEADER
 
 DIAL_MS = 0.5
--- a/petrelway/emulator/policy_traffic.py
+++ b/petrelway/emulator/policy_traffic.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
+from ..fakes.fault_schedule import FaultSchedule, NetworkFault
+from ..fakes.in_memory_network import World
 from ..policy.document import canonical
-from ..policy.words import Progress
+from ..policy.messages import Progress
 from ..settings.front import FunctionEntry, RequestClassTerms
-from ..standin.memory import World
-from ..standin.fault_schedule import NetworkFault, FaultSchedule
-from .council import One, Council
+from .policy_simulation import Council, One
 
 VOTERS = 3
 ELECTION_S = 4.0  # until a leader is elected and all members serve
--- a/petrelway/emulator/partners.py
+++ b/petrelway/emulator/quota_model.py
@@ -14,12 +14,13 @@
 from functools import cache
 from typing import NamedTuple
 
-from ..choice import Gate
-from ..fleet import members, parts
-from ..fleet.members import Members
-from ..fleet.parts import Parts
-from ..fleet.words import Kind, Start, State, Word
-from ..interface import ColdRule, LoadRation, Part
+from ..membership import quota_lease as parts
+from ..membership import swim as members
+from ..membership.messages import Kind, Start, State, Word
+from ..membership.quota_lease import Parts
+from ..membership.swim import Members
+from ..routing.router import Gate
+from ..routing.types import ColdRule, LoadRation, Part
 
 SIZE = 3
 STEP_MS = 1400.0  # so that the wait of a new process ends in the step in which it may
--- a/petrelway/emulator/storm.py
+++ b/petrelway/emulator/random_policy_faults.py
@@ -7,10 +7,10 @@
 from collections import Counter
 from typing import NamedTuple
 
-from ..rules.policy import Violation, judge
-from ..standin.memory import World
-from ..standin.fault_schedule import FaultSchedule, NetworkFault, fault_random_source
-from .council import Council
+from ..fakes.fault_schedule import FaultSchedule, NetworkFault, fault_random_source
+from ..fakes.in_memory_network import World
+from ..invariants.policy_checker import Violation, judge
+from .policy_simulation import Council
 
 STEP_S = 0.25
 QUIET_S = 40.0  # after the last fault: by then a change has to go through
--- a/petrelway/emulator/runs.py
+++ b/petrelway/emulator/runs.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any
 
-from .. import choice
-from ..rehearsal.baselines import POLICIES
-from ..rehearsal.report import sums
-from ..rules.checker import figures, judge
+from ..invariants.checker import figures, judge
+from ..routing import router as choice
+from ..scenarios.baselines import POLICIES
+from ..scenarios.report import sums
 from .day import EmulatedDay
 
 FIGURES = (
--- a/petrelway/emulator/introduced.py
+++ b/petrelway/emulator/settled_membership.py
@@ -8,12 +8,12 @@
 
 import random
 
-from ..fleet.members import Decision, Verb
-from ..fleet.words import write
-from ..standin.hollow import introductions, settle_view
-from ..standin.fault_schedule import FaultSchedule
-from ..standin.memory import World
-from .sea import Peer, Sea
+from ..fakes.fault_schedule import FaultSchedule
+from ..fakes.hollow_members import introductions, settle_view
+from ..fakes.in_memory_network import World
+from ..membership.messages import write
+from ..membership.swim import Decision, Verb
+from .membership_simulation import Peer, Sea
 
 
 class CountedSea(Sea):
--- a/petrelway/standin/clients.py
+++ b/petrelway/fakes/clients.py
@@ -9,8 +9,8 @@
 import h11
 from twisted.internet import endpoints, protocol
 
-from .manners import Again, Manners
-from .script import Happening
+from .fault_script import Happening
+from .retry_behaviour import Again, Manners
 from .traffic import Asked, Traffic
 
 IDLE_BOUND = 64  # connections kept for one front end
--- a/petrelway/standin/registry.py
+++ b/petrelway/fakes/endpoint_registry.py
@@ -10,7 +10,7 @@
 
 from ..wire import registry_codec
 from ..wire.framing import Frames, WireError
-from .script import Post, Script
+from .fault_script import Post, Script
 
 
 class Change(NamedTuple):
--- a/petrelway/standin/executors.py
+++ b/petrelway/fakes/executors.py
@@ -9,8 +9,8 @@
 
 from ..wire import codec
 from ..wire.framing import Frames, WireError
-from .life import Life
-from .machine import Work
+from .executor_model import Work
+from .process_lifecycle import Life
 
 CONNECTIONS_BOUND = 512
 
--- a/petrelway/standin/failing_calls.c
+++ b/petrelway/fakes/failing_calls.c
@@ -1,7 +1,7 @@
 /* A library for LD_PRELOAD: makes system calls of one process fail for a while, and steps its wall clock.
  *
  * What fails, how often and how many times more stands in a file that the process maps
- * (PETRELWAY_FAILING_CALLS); petrelway/standin/failing_calls.py writes it while the process runs. Build:
+ * (PETRELWAY_FAILING_CALLS); petrelway/fakes/failing_calls.py writes it while the process runs. Build:
  *     cc -O2 -shared -fPIC -o failing_calls.so failing_calls.c -ldl
  * For tests on loopback alone. Each wrapper draws first; where nothing is to fail it calls the C library.
  */
--- a/petrelway/standin/fault_proxy.py
+++ b/petrelway/fakes/fault_proxy.py
@@ -20,8 +20,8 @@
 
 from ..wire import registry_codec
 from ..wire.framing import Frames
-from .script import EXECUTORS_BOUND, network_faults, other_ways
 from .fault_schedule import EXECUTORS, REGISTRY, FaultSchedule, NetworkFault, fault_random_source
+from .fault_script import EXECUTORS_BOUND, network_faults, other_ways
 
 LOOK_MS = 50.0  # a port at the far end is looked at this often
 HELD_BOUND = 1 << 20  # bytes of one connection that wait
@@ -32,7 +32,7 @@
 def proxy_address(one: int, other: int) -> str:
     """Where `one` meets `other`, for up to 250 front ends and 250 executors.
 
-    >>> proxy_address(0, 3), proxy_address(0, ROSTER), proxy_address(0, EXECUTORS + 3)
+    >>> proxy_address(0, 3), proxy_address(0, REGISTRY), proxy_address(0, EXECUTORS + 3)
     ('127.77.1.4', '127.78.1.1', '127.78.1.5')
     """
     if other >= REGISTRY:
@@ -299,7 +299,7 @@
 
 def play_fault_proxy(reactor, plan) -> None:
     """As a part of a rehearsal."""
-    from .parts import stay
+    from .scenario_processes import stay
 
     record = plan.record("fault_proxy", reactor)
     random_source = fault_random_source(plan.day["day"].seed)
--- a/petrelway/standin/script.py
+++ b/petrelway/fakes/fault_script.py
@@ -10,7 +10,6 @@
 
 from .fault_schedule import EXECUTORS, KINDS, REGISTRY, NetworkFault
 
-
 EXECUTORS_BOUND = 250  # behind the faulty network
 
 
--- a/petrelway/standin/hollow.py
+++ b/petrelway/fakes/hollow_members.py
@@ -14,11 +14,11 @@
 import msgspec
 from twisted.internet import defer, interfaces, protocol, task
 
-from ..fleet.service import FleetService, Listed
-from ..fleet.members import Members
-from ..fleet.words import NEWS_MOST, Kind, News, Start, State, digest, write
-from ..fleet.words import Word as Message
-from ..interface import Part
+from ..membership.messages import NEWS_MOST, Kind, News, Start, State, digest, write
+from ..membership.messages import Word as Message
+from ..membership.service import FleetService, Listed
+from ..membership.swim import Members
+from ..routing.types import Part
 
 MEMBERS_BOUND = 2000  # hollow members in one process: two descriptors each, of the usual few thousand
 FLEET_BOUND = 60_000  # members of one fleet: one address each under 127.NETWORK.0.0/16
--- a/petrelway/standin/hollow_memory.py
+++ b/petrelway/fakes/hollow_memory.py
@@ -8,9 +8,9 @@
 
 from twisted.internet import protocol, task
 
-from ..fleet.service import FleetService
-from ..fleet.words import State
-from .hollow import FleetPlan, hollow_member, introduction_datagrams
+from ..membership.messages import State
+from ..membership.service import FleetService
+from .hollow_members import FleetPlan, hollow_member, introduction_datagrams
 
 ANY_NETWORK, ANY_PORT = 77, 20_000  # nothing is bound there
 
--- a/petrelway/standin/hollow_process.py
+++ b/petrelway/fakes/hollow_process.py
@@ -15,7 +15,7 @@
 from twisted.internet import error, stdio
 from twisted.protocols import basic
 
-from .hollow import FleetPlan, HollowGroup
+from .hollow_members import FleetPlan, HollowGroup
 
 STANDARD_INPUT = 0
 LINE_BOUND = 64  # bytes of a command
@@ -72,7 +72,7 @@
 
 def run_hollow(plan: FleetPlan, numbers: range, ports: bool, process: int, introduced: bool) -> None:
     """Run these members until asked to stop. Raises HollowMembersError or CannotListenError."""
-    from ..clock import steady_reactor
+    from ..common.process_clock import steady_reactor
 
     reactor = steady_reactor()
     group = HollowGroup(reactor, plan, numbers, ports, process)
--- a/petrelway/standin/life.py
+++ b/petrelway/fakes/process_lifecycle.py
@@ -7,8 +7,8 @@
 from collections import deque
 from typing import Protocol
 
-from .machine import ERROR, MISS, Machine, Marks, Work
-from .script import Happening, Post
+from .executor_model import ERROR, MISS, Machine, Marks, Work
+from .fault_script import Happening, Post
 
 
 class Wire(Protocol):
--- a/petrelway/standin/parts.py
+++ b/petrelway/fakes/scenario_processes.py
@@ -10,13 +10,13 @@
 
 from ..settings.days import check_day
 from .clients import Clients
+from .endpoint_registry import Book, RegistryFactory, changes, first_lines, tell
+from .executor_model import Marks
 from .executors import Executor
-from .machine import Marks
-from .packages import Shelf, site
+from .fault_script import Happening, Script, write
+from .model_store import Store, StoreClient, StoreProtocol
+from .package_store import Shelf, site
 from .records import Record
-from .registry import Book, RegistryFactory, changes, first_lines, tell
-from .script import Happening, Script, write
-from .store import Store, StoreClient, StoreProtocol
 from .traffic import functions
 
 LATE_MS = 2000.0  # parts stay so long after the last outer limit
--- a/petrelway/standin/traffic.py
+++ b/petrelway/fakes/traffic.py
@@ -8,7 +8,7 @@
 import random
 from typing import Any, NamedTuple
 
-from .script import Happening
+from .fault_script import Happening
 
 
 class FunctionTruth(NamedTuple):
--- a/petrelway/front/terms.py
+++ b/petrelway/gateway/active_policy.py
@@ -4,9 +4,9 @@
 
 from typing import Any, NamedTuple
 
-from ..interface import Tenant, Idempotency, Capabilities, Scope, RequestClass
-from .ask import Asks, Catalogue
-from .host import Function
+from ..routing.types import Capabilities, Idempotency, RequestClass, Scope, Tenant
+from .cloudevent_requests import Asks, Catalogue
+from .dispatcher import Function
 
 PLACES_BOUND = 10_000  # request classes, or tenants, that one process may have known
 
--- a/petrelway/front/proof.py
+++ b/petrelway/gateway/attempt_ledger.py
@@ -9,7 +9,7 @@
 
 from collections import OrderedDict
 
-from ..interface import Outcome
+from ..routing.types import Outcome
 
 Key = tuple[int, int]  # request's serial, number of the attempt
 
--- a/petrelway/front/reasons.py
+++ b/petrelway/gateway/attempt_reasons.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..choice import FrontEnd
+from ..routing.router import FrontEnd
 
 
 def why_sent(fe: FrontEnd, request: int, executor_index: int, number: int) -> str:
--- a/petrelway/front/link_base.py
+++ b/petrelway/gateway/channel_base.py
@@ -1,6 +1,6 @@
 """What every link to an executor tells its host when there is no answer, written once for all links.
 
-`front/links.py`, `node/links.py` and `emulator/links.py` build on it. Only links call it; the host listens.
+`gateway/executor_channel.py`, `node/executor_pool.py` and `emulator/executor_channel.py` build on it. Only links call it; the host listens.
 """
 
 from __future__ import annotations
@@ -9,10 +9,10 @@
 from enum import Enum
 from typing import Protocol
 
-from ..interface import Outcome
+from ..routing.types import Outcome
 from ..wire.codec import Load
-from .end_reasons import EndReason
-from .proof import Key
+from .attempt_ledger import Key
+from .connection_end_reasons import EndReason
 
 CLOGGED_MS = 2000.0  # a connection that takes no byte for so long is broken off
 BUFFER_BYTES = 1 << 18  # bytes handed to a transport before it asks us to pause
--- a/petrelway/front/ask.py
+++ b/petrelway/gateway/cloudevent_requests.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ..events.single import Event, EventError
-from .host import Function
+from .dispatcher import Function
 
 
 class Ask(NamedTuple):
--- a/petrelway/front/host.py
+++ b/petrelway/gateway/dispatcher.py
@@ -14,15 +14,25 @@
 
 from twisted.internet import defer, interfaces
 
-from ..choice import FrontEnd
-from ..indices import Ids
-from ..interface import Tenant, Decision, Endpoint, Outcome, Capabilities, Stage, RequestClass, Verb, Warmth
-from ..endpoint_entry import EndpointEntry
-from ..start_times import StartTimes
+from ..common.endpoint_entry import EndpointEntry
+from ..common.index_table import Ids
+from ..common.start_times import StartTimes
+from ..routing.router import FrontEnd
+from ..routing.types import (
+    Capabilities,
+    Decision,
+    Endpoint,
+    Outcome,
+    RequestClass,
+    Stage,
+    Tenant,
+    Verb,
+    Warmth,
+)
 from ..wire import codec
-from .links import Link
-from .proof import Key
-from .reasons import why_sent
+from .attempt_ledger import Key
+from .attempt_reasons import why_sent
+from .executor_channel import Link
 
 STAGES = {"ready": Stage.READY, "draining": Stage.DRAINING, "gone": Stage.GONE}
 FAILURES_BOUND = 50  # decisions that may fail in one turn before all that is owed is broken off
--- a/petrelway/front/links.py
+++ b/petrelway/gateway/executor_channel.py
@@ -13,13 +13,13 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ..interface import Outcome
+from ..routing.types import Outcome
 from ..wire import codec
 from ..wire.framing import Frames, WireError
+from .attempt_ledger import Key, Ledger
 from .backoff import Backoff
-from .link_base import BUFFER_BYTES, CLOGGED_MS, LinkListener, Question, SocketLinkReports
-from .end_reasons import EndReason, failure_reason
-from .proof import Key, Ledger
+from .channel_base import BUFFER_BYTES, CLOGGED_MS, LinkListener, Question, SocketLinkReports
+from .connection_end_reasons import EndReason, failure_reason
 
 CONNECT_TIMEOUT_MS = 250.0  # a connection that is not up by then counts as unreachable
 WAITING_BOUND = 512  # attempts that wait at one link for a connection or for room
--- a/petrelway/front/intake.py
+++ b/petrelway/gateway/http_listener.py
@@ -16,8 +16,8 @@
 from twisted.web import resource, server
 
 from ..events.single import EventError, read
-from .ask import Ask, Asks
-from .host import FAILED, SUCCEEDED, REJECTED, Answer
+from .cloudevent_requests import Ask, Asks
+from .dispatcher import FAILED, REJECTED, SUCCEEDED, Answer
 
 BODY_BOUND = 1 << 18  # bytes of a request's body
 OPEN_BOUND = 20_000  # requests without a final answer; past it a request is rejected and not taken
--- a/petrelway/front/service.py
+++ b/petrelway/gateway/service.py
@@ -10,16 +10,16 @@
 from twisted.application import service
 from twisted.internet import defer, interfaces
 
-from ..choice import FrontEnd
-from ..interface import ColdRule, Keeping, LoadRation, Place
-from ..fleet.service import FleetService, Listed, new_token
+from ..membership.service import FleetService, Listed, new_token
+from ..routing.router import FrontEnd
+from ..routing.types import ColdRule, Keeping, LoadRation, Place
 from ..sockets.listening import listen_tcp
-from . import terms
-from .ask import Ask
-from .dialling import connector
-from .host import Answer, Host
-from .intake import Intake
-from .registry import Follower
+from . import active_policy as terms
+from .cloudevent_requests import Ask
+from .dispatcher import Answer, Host
+from .http_listener import Intake
+from .outgoing_connections import connector
+from .registry_client import Follower
 
 BACKLOG = 512  # connections that wait in the system's queue
 CLOCK_LOOK_S = 1.0  # the wall clock is looked at this often
@@ -165,8 +165,8 @@
 
     def _vote(self, wanted) -> None:
         """Terms that are changed by all members or by none."""
-        from ..policy.adopter import Terms
         from ..policy.document import canonical, digest
+        from ..policy.policy_holder import Terms
         from ..policy.service import PolicyService
 
         document = canonical(self.found)
--- a/petrelway/load/plan.py
+++ b/petrelway/load/plan.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from ..settings.front import Ms, Name, Some, Strict
-from ..settings.reading import SettingsProblem, SettingsError, evaluate, sections
+from ..settings.reading import SettingsError, SettingsProblem, evaluate, sections
 from .arrivals import Due, Rate, drawn, from_trace
 
 
--- a/petrelway/load/running.py
+++ b/petrelway/load/running.py
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ..clock import process_clock, share_scale
+from ..common.process_clock import process_clock, share_scale
 from .plan import LoadPlan, read_load
 from .sender import MOST_MS, Sender, histogram
 
@@ -22,7 +22,7 @@
 
 def _play(file: str, number: int, port: int, epoch: float, pipe) -> None:
     """One process."""
-    from ..clock import steady_reactor
+    from ..common.process_clock import steady_reactor
 
     reactor = steady_reactor()
     try:
--- a/petrelway/load/sender.py
+++ b/petrelway/load/sender.py
@@ -10,7 +10,7 @@
 from hdrh.histogram import HdrHistogram
 from twisted.internet import defer, interfaces
 
-from ..standin.clients import Asker, Pool
+from ..fakes.clients import Asker, Pool
 from .arrivals import Due, TraceError
 
 MOST_MS = 3_600_000
--- a/petrelway/fleet/parts.py
+++ b/petrelway/membership/quota_lease.py
@@ -17,8 +17,8 @@
 import math
 from typing import NamedTuple
 
-from ..interface import Part
-from .members import PROOF_MS, Members, Whole
+from ..routing.types import Part
+from .swim import PROOF_MS, Members, Whole
 
 DRIFT = 0.01  # two clocks' spans differ by less than this share of them; quartz differs by a ten-thousandth
 WAIT_MS = PROOF_MS * (1.0 + 2.0 * DRIFT) + 500.0  # of a process that has just started
--- a/petrelway/fleet/service.py
+++ b/petrelway/membership/service.py
@@ -16,12 +16,12 @@
 from twisted.application import service
 from twisted.internet import error, interfaces, protocol
 
-from ..interface import Part
+from ..routing.types import Part
 from ..sockets.datagrams import listen_udp
 from ..sockets.listening import listen_tcp
-from .members import Members, Verb, Whole
-from .parts import Held, Parts
-from .words import Start, State, MessageError, digest, read, write
+from .messages import MessageError, Start, State, digest, read, write
+from .quota_lease import Held, Parts
+from .swim import Members, Verb, Whole
 
 DIAL_S = 2.0  # a try that has not ended by then says nothing
 BACKLOG = 512  # connections that wait in the system's queue
--- a/petrelway/fleet/members.py
+++ b/petrelway/membership/swim.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .words import NEWS, NEWS_MOST, Kind, News, Start, State, Word, digest
+from .messages import NEWS, NEWS_MOST, Kind, News, Start, State, Word, digest
 
 TICK_MS = 100.0  # it looks at its clock this often, so that it notices when it stood still
 PERIOD_MS = 1000.0  # one member is asked in this time
--- a/petrelway/node/door.py
+++ b/petrelway/node/client_listener.py
@@ -1,7 +1,7 @@
 """The door: clients' connections. Lines in, one final answer each out; the only part that clients see.
 
 What is wrong is answered with an error at once. When a connection may be read and closed is decided in
-`obligations/client_connection.py`; here its decisions are carried out on the transport.
+`node/connection_state.py`; here its decisions are carried out on the transport.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from twisted.internet import defer, interfaces, protocol
 from twisted.python.failure import Failure
 
-from ..front.host import SUCCEEDED, REJECTED, Answer, PendingAnswer
-from ..obligations.client_connection import OPEN_BOUND, ClientConnection, CloseReason, Phase
-from ..platform import lines
-from ..platform.lines import ClientLineError
-from ..platform.passed import Passed
+from ..gateway.dispatcher import REJECTED, SUCCEEDED, Answer, PendingAnswer
+from ..platform import client_codec as lines
+from ..platform.client_codec import ClientLineError
+from ..platform.opaque_request import Passed
+from .connection_state import OPEN_BOUND, ClientConnection, CloseReason, Phase
 
 LINES_A_TURN = 8  # of one connection; the others come first then
 LOOK_AGAIN_MS = 20.0  # what seems to say nothing is looked at twice, so long apart
--- a/petrelway/node/follower.py
+++ b/petrelway/node/discovery.py
@@ -8,10 +8,10 @@
 from twisted.internet import interfaces, protocol
 from twisted.python.failure import Failure
 
-from ..front.backoff import Backoff
-from ..endpoint_entry import EndpointEntry
-from ..platform.bus import Bus, resume
-from ..platform.faults import ProtocolError
+from ..common.endpoint_entry import EndpointEntry
+from ..gateway.backoff import Backoff
+from ..platform.discovery_codec import Bus, resume
+from ..platform.errors import ProtocolError
 
 CONNECT_TIMEOUT_MS = 500.0
 SILENCE_MS = 1700.0  # its heartbeat comes each second; without one for so long it has stopped
--- a/petrelway/node/links.py
+++ b/petrelway/node/executor_pool.py
@@ -1,7 +1,7 @@
 """Links to executors on the platform's protocol: a pool of connections each, driven by the host.
 
 What a link tells the host is exact: each connection keeps its own ledger of what a broken link proves
-(front/proof.py). A attempt takes a connection on which nothing else is out, while there is room for
+(gateway/attempt_ledger.py). A attempt takes a connection on which nothing else is out, while there is room for
 one, since an answer that can't be read takes all with it that shares its connection; only when descriptors
 are short do attempts share one, up to the protocol's bound.
 """
@@ -16,14 +16,21 @@
 from twisted.internet import interfaces, protocol
 from twisted.python.failure import Failure
 
-from ..front.backoff import Backoff
-from ..front.end_reasons import EndReason, failure_reason
-from ..front.link_base import BUFFER_BYTES, CLOGGED_MS, NO_LOAD, LinkListener, Question, SocketLinkReports
-from ..front.proof import Key, Ledger
-from ..interface import Outcome, Warmth
-from ..platform import frames
-from ..platform.faults import ProtocolError
-from ..platform.passed import Passed
+from ..gateway.attempt_ledger import Key, Ledger
+from ..gateway.backoff import Backoff
+from ..gateway.channel_base import (
+    BUFFER_BYTES,
+    CLOGGED_MS,
+    NO_LOAD,
+    LinkListener,
+    Question,
+    SocketLinkReports,
+)
+from ..gateway.connection_end_reasons import EndReason, failure_reason
+from ..platform import executor_codec as frames
+from ..platform.errors import ProtocolError
+from ..platform.opaque_request import Passed
+from ..routing.types import Outcome, Warmth
 
 SWEEP_MS = 250.0  # connections are looked over this often
 HALF_MS = 300.0  # an answer that has begun and not ended for so long ends its connection
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -1,6 +1,6 @@
 """One front end on the platform: door, host, links and bus follower wired together, and its signals.
 
-The host is the one of front/host.py; it is handed the platform's link. Times in ms.
+The host is the one of gateway/dispatcher.py; it is handed the platform's link. Times in ms.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from twisted.application import service
 from twisted.internet import defer, interfaces
 
+from ..common.endpoint_entry import EndpointEntry
 from ..daemon.shedding import Shedder
-from ..fleet.service import FleetService, Listed, new_token
-from ..front.dialling import connector
-from ..front.host import Function, Host, PendingAnswer
-from ..interface import Idempotency
-from ..endpoint_entry import EndpointEntry
-from ..platform.faults import ProtocolError
-from ..platform.lines import Asks
-from ..platform.passed import Passed
-from ..platform.told import Told, read_peers, read_told
+from ..gateway.dispatcher import Function, Host, PendingAnswer
+from ..gateway.outgoing_connections import connector
+from ..membership.service import FleetService, Listed, new_token
+from ..platform.client_codec import Asks
+from ..platform.configuration import Told, read_peers, read_told
+from ..platform.errors import ProtocolError
+from ..platform.opaque_request import Passed
+from ..routing.types import Idempotency
 from ..sockets.descriptors import descriptors
 from ..sockets.listening import Listener, listen_tcp
-from .door import ABORT_MS, Door
-from .follower import Follower
-from .links import PlatformLink, Room
+from .client_listener import ABORT_MS, Door
+from .discovery import Follower
+from .executor_pool import PlatformLink, Room
 
 RELOAD_TRIES, RELOAD_AGAIN_MS = 50, 100.0  # a configuration that can't be read for a moment
 BACKLOG = 512  # connections that wait in the system's queue
--- a/petrelway/platform/lines.py
+++ b/petrelway/platform/client_codec.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from .faults import ProtocolError
-from .passed import Passed
+from .errors import ProtocolError
+from .opaque_request import Passed
 
 BODY_BOUND = 16 * 1024  # bytes of a request's body
 LINE_BOUND = (BODY_BOUND + 2) // 3 * 4 + 2048  # and of its line: the body in base64, and the rest
@@ -238,7 +238,7 @@
     """`retry_ms` 0: no time to come back is given.
 
     >>> rejected(7, 200.4)
-    b'{"jsonrpc":"2.0","id":7,"error":{"code":-32014,"message":"rejected","data":{"pushback":201}}}\\n'
+    b'{"jsonrpc":"2.0","id":7,"error":{"code":-32014,"message":"nacked","data":{"pushback":201}}}\\n'
     """
     data = b',"data":{"pushback":%d}' % math.ceil(retry_ms) if retry_ms > 0.0 else b""
     return b'{"jsonrpc":"2.0","id":%d,"error":{"code":%d,"message":"nacked"%b}}\n' % (number, REJECTED, data)
--- a/petrelway/platform/told.py
+++ b/petrelway/platform/configuration.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from ..terms import Terms, DeploymentSettingsError, read_terms
-from .faults import ProtocolError
+from ..common.deployment_settings import DeploymentSettingsError, Terms, read_terms
+from .errors import ProtocolError
 
 SOCKETS_LEAST = 64  # fewer descriptors leave no room for clients and executors
 
--- a/petrelway/platform/bus.py
+++ b/petrelway/platform/discovery_codec.py
@@ -12,8 +12,8 @@
 from struct import Struct
 from typing import Any, Protocol
 
-from ..endpoint_entry import EndpointEntry
-from .faults import ProtocolError
+from ..common.endpoint_entry import EndpointEntry
+from .errors import ProtocolError
 
 HEAD = Struct(">IQB")
 NUMBER = Struct(">Q")
--- a/petrelway/platform/frames.py
+++ b/petrelway/platform/executor_codec.py
@@ -11,9 +11,9 @@
 from typing import Protocol
 from zlib import crc32
 
-from ..interface import Outcome, Warmth
-from .faults import ProtocolError
-from .passed import Passed
+from ..routing.types import Outcome, Warmth
+from .errors import ProtocolError
+from .opaque_request import Passed
 
 HEAD, CHECK = Struct(">BBHI8s"), Struct(">I")
 FROM_FRONT_END, FROM_EXECUTOR = 1, 2
--- a/petrelway/policy/changes.py
+++ b/petrelway/policy/change_coordinator.py
@@ -10,10 +10,8 @@
 from collections import deque
 from typing import Any, NamedTuple
 
-from .adopter import LEASE_MS, moment_of
 from .document import digest, stops
-from .keepers import Keeper
-from .words import (
+from .messages import (
     Abandoned,
     Ask,
     Decided,
@@ -22,13 +20,15 @@
     Moment,
     Prepare,
     Progress,
-    Proposed,
     Propose,
+    Proposed,
     Ready,
     Seen,
     Told,
     Under,
 )
+from .policy_holder import LEASE_MS, moment_of
+from .raft import Keeper
 
 HOLD_MS = 3000.0  # a promise holds so long; it is renewed three times in it
 AGAIN_MS = 300.0  # a word without an answer is said again after this
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from ..settings.front import SHAPES, Strict, CapabilitySettings, between
-from ..settings.reading import SettingsProblem, SettingsError, evaluate, sections
+from ..settings.front import SHAPES, CapabilitySettings, Strict, between
+from ..settings.reading import SettingsError, SettingsProblem, evaluate, sections
 
 TERMS = ("tariffs", "customers", "permits", "functions")
 READ_DOCUMENTS_KEPT = 4  # answers kept of `stops`: a process asks about the present document and the next one
@@ -52,9 +52,9 @@
 def canonical(found: Mapping[str, Any]) -> str:
     """The terms among checked sections, each default written out, in one form.
 
-    >>> canonical({"request classes": [], "functions": []})
-    '{"adoption":{"silent":"serve on"},"tenants":[],"functions":[],"permits":{"longest_retry_ms":1000.0,\
-"hedging":true,"attempts":3,"withdraw":true},"request classes":[]}'
+    >>> canonical({"tariffs": [], "functions": []})
+    '{"adoption":{"silent":"serve on"},"customers":[],"functions":[],"permits":{"longest_retry_ms":1000.0,\
+"second_copies":true,"transmissions":3,"withdraw":true},"tariffs":[]}'
     """
     some = {"customers": [], "permits": CapabilitySettings(), "adoption": Adoption(), **found}
     tree = {name: msgspec.to_builtins(some[name]) for name in SECTIONS}
@@ -115,11 +115,11 @@
 def differences(before: str, after: str) -> list[Difference]:
     """What differs between two documents, in their order.
 
-    >>> one = '{"request classes":[{"name":"quick","deadline_ms":500.0}]}'
+    >>> one = '{"tariffs":[{"name":"quick","outer_ms":500.0}]}'
     >>> differences(one, one.replace("500", "400"))[0].where
-    'request classes[quick].deadline_ms'
-    >>> differences(one, '{"request classes":[]}')[0].danger
-    'requests that name it are refused'
+    'tariffs[quick].outer_ms'
+    >>> differences(one, '{"tariffs":[]}')[0].danger
+    'triggers that name it are refused'
     """
     one, two = json.loads(before), json.loads(after)
     found: list[Difference] = []
--- a/petrelway/policy/adopter.py
+++ b/petrelway/policy/policy_holder.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 
 from .document import digest
-from .words import Ask, Look, Moment, Prepare, Ready, Seen, Told
+from .messages import Ask, Look, Moment, Prepare, Ready, Seen, Told
 
 ASK_MS = 300.0  # one that may not serve, or has promised for longer than it was heard of, asks this often
 LEASE_MS = 5000.0  # where the silent have to stop: terms hold so long without a word
--- a/petrelway/policy/party.py
+++ b/petrelway/policy/policy_member.py
@@ -15,15 +15,14 @@
 
 import msgspec
 
-from . import keepers, ledger
-from .adopter import Adopter, Serving, Terms
-from .changes import AGAIN_MS, Lead, Try
-from .keepers import Keeper, Role
-from .words import (
-    AskVote,
+from . import raft as keepers
+from . import state_machine as ledger
+from .change_coordinator import AGAIN_MS, Lead, Try
+from .messages import (
     Append,
     Appended,
     Ask,
+    AskVote,
     Elsewhere,
     Found,
     History,
@@ -40,6 +39,8 @@
     Under,
     Vote,
 )
+from .policy_holder import Adopter, Serving, Terms
+from .raft import Keeper, Role
 
 BETWEEN_KEEPERS = (AskVote, Vote, Append, Appended, Lost, Found)
 TO_LEADER = (Ask, Seen, Ready, Under)
--- a/petrelway/policy/keepers.py
+++ b/petrelway/policy/raft.py
@@ -15,8 +15,8 @@
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
-from . import ledger as ledgers
-from .words import (
+from . import state_machine as ledgers
+from .messages import (
     ENTRIES_MOST,
     Append,
     Appended,
--- a/petrelway/policy/store.py
+++ b/petrelway/policy/raft_storage.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .words import Entry, Kept
+from .messages import Entry, Kept
 
 APPLICATION_ID = 0x70726C77  # "prlw"
 FORMAT = 1
@@ -30,7 +30,7 @@
     """What is on the disk once `new` is kept, whose entries follow `since`; 0: it is all there is.
 
     >>> e = lambda term: Entry(term=term, what=Opened())
-    >>> from .words import Opened
+    >>> from .messages import Opened
     >>> one = after(Kept(), Kept(term=1, entries=(e(1), e(1))), 0)
     >>> [x.term for x in after(one, Kept(term=2, entries=(e(2),)), 1).entries]
     [1, 2]
--- a/petrelway/policy/service.py
+++ b/petrelway/policy/service.py
@@ -17,15 +17,15 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ..fleet.service import CALLERS_BOUND, Dial, FleetService, Listed
+from ..membership.service import CALLERS_BOUND, Dial, FleetService, Listed
 from ..wire.framing import Frames, WireError
-from . import ledger as ledgers
-from .adopter import Serving, Terms
-from .changes import Try
-from .keepers import Role
-from .party import Keep, Party
-from .store import Store
-from .words import WORD_BOUND, Progress, Propose, MessageError, read, write
+from . import state_machine as ledgers
+from .change_coordinator import Try
+from .messages import WORD_BOUND, MessageError, Progress, Propose, read, write
+from .policy_holder import Serving, Terms
+from .policy_member import Keep, Party
+from .raft import Role
+from .raft_storage import Store
 
 IDLE_S = 10.0  # a connection on which nothing is heard is closed
 LIFE_S = 5.0  # a connection is used for so long
--- a/petrelway/policy/ledger.py
+++ b/petrelway/policy/state_machine.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from .document import digest
-from .words import Abandoned, Decided, Entry, Keepers, Moment, Proposed
+from .messages import Abandoned, Decided, Entry, Keepers, Moment, Proposed
 
 VERSIONS_KEPT = 100  # the latest ones, with their documents
 DOCUMENTS_BOUND = 1 << 20  # characters of their documents; the present and the last one are kept whatever
--- a/petrelway/hash_ring.py
+++ b/petrelway/routing/hash_ring.py
@@ -1,7 +1,7 @@
 """A hash ring of executors, and windows on it that stay sorted by rank as executors come and go.
 
 Containers alone: how wide a window is, where it begins and how its executors rank is decided by who uses
-them, `petrelway/ranking.py`. Imports nothing but the standard library and does no I/O.
+them, `petrelway/routing/ranking.py`. Imports nothing but the standard library and does no I/O.
 """
 
 from __future__ import annotations
--- a/petrelway/choice.py
+++ b/petrelway/routing/router.py
@@ -3,8 +3,8 @@
 How to call it: make a FrontEnd, tell it all that happens through its input methods (they only
 update what is known), then call decide(now) until it returns None and carry each Decision out.
 released() hands back the indices that may be used anew. The types that a host sees are in
-petrelway/interface.py, those of what is remembered in petrelway/choice_state.py.
-The ordinary path is `choose`; the order of a function's executors is that of petrelway/ranking.py; the five
+petrelway/routing/types.py, those of what is remembered in petrelway/routing/state.py.
+The ordinary path is `choose`; the order of a function's executors is that of petrelway/routing/ranking.py; the five
 rules stand in Gate, which every send passes.
 """
 
@@ -16,30 +16,30 @@
 from collections import Counter, deque
 from collections.abc import Iterable
 
-from .choice_state import Deadlines, Executor, Fleet, FrontEndState, FunctionState, Attempt, Request
-from .forward_clock import ForwardClock
 from .hash_ring import RingWindow
-from .interface import (
+from .monotonic_time import ForwardClock
+from .ranking import WINDOW, FunctionRank
+from .state import Attempt, Deadlines, Executor, Fleet, FrontEndState, FunctionState, Request
+from .types import (
     NEVER_RAN,
+    Capabilities,
     ColdRule,
-    Tenant,
     Decision,
+    Endpoint,
     Idempotency,
     Keeping,
-    Endpoint,
     LoadRation,
     Outcome,
     Part,
-    Capabilities,
     Place,
     Released,
+    RequestClass,
     Scope,
     Stage,
-    RequestClass,
+    Tenant,
     Verb,
     Warmth,
 )
-from .ranking import WINDOW, FunctionRank
 
 # Tuned values. Times in ms.
 VARIANCE = 2.0  # a skilled executor without a free lane is passed over past this times the mean backlog
--- a/petrelway/choice_state.py
+++ b/petrelway/routing/state.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from .hash_ring import HASH_BITS, HashRing
-from .interface import Endpoint, Capabilities, Released, Stage, RequestClass
+from .types import Capabilities, Endpoint, Released, RequestClass, Stage
 
 SALT_BYTES = HASH_BITS // 8  # a salt is a hash of a stable name, the same at all front ends
 
--- a/petrelway/rehearsal/baselines.py
+++ b/petrelway/scenarios/baselines.py
@@ -5,8 +5,8 @@
 from collections import deque
 from collections.abc import Iterable
 
-from ..choice import Executor, FrontEnd, Request
-from ..interface import Decision, Endpoint, Released, Stage, Verb
+from ..routing.router import Executor, FrontEnd, Request
+from ..routing.types import Decision, Endpoint, Released, Stage, Verb
 
 
 class RandomChoice(FrontEnd):
--- a/petrelway/rehearsal/benchday.py
+++ b/petrelway/scenarios/bench_day.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..settings.reading import FILE_BOUND, SettingsProblem, SettingsError
+from ..settings.reading import FILE_BOUND, SettingsError, SettingsProblem
 
 RATE_BOUND = 400.0  # requests a second that a rehearsal on one machine plays at the most
 FRONTS_BOUND, EXECUTORS_BOUND = 8, 60
--- a/petrelway/rehearsal/fronts.py
+++ b/petrelway/scenarios/front_end_settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..standin.traffic import functions
+from ..fakes.traffic import functions
 
 
 def front_settings(
--- a/petrelway/rehearsal/inmemory.py
+++ b/petrelway/scenarios/inmemory.py
@@ -10,15 +10,15 @@
 import msgspec
 from twisted.internet import defer
 
-from ..choice import FrontEnd
 from ..daemon.service import Daemon
+from ..fakes.fault_script import write
+from ..fakes.in_memory_network import Process, World
+from ..fakes.records import Record
+from ..fakes.scenario_processes import play_clients, play_executors, play_services
+from ..routing.router import FrontEnd
 from ..settings.days import check_playable
 from ..settings.front import check_front_end
-from ..standin.memory import Process, World
-from ..standin.parts import play_clients, play_executors, play_services
-from ..standin.records import Record
-from ..standin.script import write
-from .fronts import front_settings
+from .front_end_settings import front_settings
 
 LEAD_MS = 3000.0
 CONSOLE_PORTS = 100
--- a/petrelway/rehearsal/realworkers.py
+++ b/petrelway/scenarios/real_workers.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import Any
 
-from ..standin.parts import Plan
-from ..standin.traffic import functions
+from ..fakes.scenario_processes import Plan
+from ..fakes.traffic import functions
 from ..worker.package import build
 
 # what happens to processes can happen to real ones; what needs a look inside the machine model can't
--- a/petrelway/rehearsal/report.py
+++ b/petrelway/scenarios/report.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..rules.records import read
+from ..invariants.records import read
 
 
 def percentile(values: list[float], share: float) -> float:
--- a/petrelway/rehearsal/conductor.py
+++ b/petrelway/scenarios/runner.py
@@ -15,13 +15,13 @@
 import psutil
 from twisted.internet import defer, error, protocol
 
-from ..clock import process_clock
-from ..standin.fault_proxy import proxy_address
-from ..standin.parts import Plan
-from ..standin.script import late, other_ways
-from ..standin.fault_schedule import REGISTRY
-from .fronts import front_settings
-from .realworkers import write_packages, write_worker
+from ..common.process_clock import process_clock
+from ..fakes.fault_proxy import proxy_address
+from ..fakes.fault_schedule import REGISTRY
+from ..fakes.fault_script import late, other_ways
+from ..fakes.scenario_processes import Plan
+from .front_end_settings import front_settings
+from .real_workers import write_packages, write_worker
 
 LEAD_MS, LEAD_EACH_MS = 3000.0, 150.0  # from the plan to the day's beginning: processes start in it
 PORTS = range(20_000, 32_000)  # below the range that connections draw theirs from
--- a/petrelway/settings/days.py
+++ b/petrelway/settings/days.py
@@ -6,22 +6,22 @@
 
 from msgspec import Meta, field
 
-from ..standin.fault_schedule import KINDS as NETWORK_FAULTS
+from ..fakes.fault_schedule import KINDS as NETWORK_FAULTS
 from .front import (
+    CapabilitySettings,
     ColdStart,
     Count,
-    TenantShare,
-    ReplicaRetention,
     Ms,
     Name,
     Ration,
+    ReplicaRetention,
+    RequestClassTerms,
     Share,
     Some,
     Strict,
-    RequestClassTerms,
-    CapabilitySettings,
+    TenantShare,
 )
-from .reading import SettingsProblem, SettingsError, evaluate, sections
+from .reading import SettingsError, SettingsProblem, evaluate, sections
 
 Range = Annotated[list[float], Meta(min_length=2, max_length=2)]
 
--- a/petrelway/settings/front.py
+++ b/petrelway/settings/front.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Meta, field
 
-from ..fleet.words import digest
-from .reading import SettingsProblem, SettingsError, evaluate, sections
+from ..membership.messages import digest
+from .reading import SettingsError, SettingsProblem, evaluate, sections
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 Ms = Annotated[float, Meta(ge=0, le=86_400_000)]
--- a/petrelway/settings/worker.py
+++ b/petrelway/settings/worker.py
@@ -7,7 +7,7 @@
 from msgspec import Meta, field
 
 from .front import Count, Listen, LogWanted, Ms, Name, Port, Some, Strict
-from .reading import SettingsProblem, SettingsError, evaluate, sections
+from .reading import SettingsError, SettingsProblem, evaluate, sections
 
 
 class WorkerPlace(Strict):
--- a/petrelway/drill/__main__.py
+++ b/petrelway/simulator_adapter/__main__.py
@@ -40,7 +40,10 @@
         try:
             actions.extend(doors[name].actions(now))
         except Exception as error:  # the wire asks for a word when the decision code itself fails
-            print(f"petrelway.drill: the decision code failed for {name}: {error!r}", file=sys.stderr)
+            print(
+                f"petrelway.simulator_adapter: the decision code failed for {name}: {error!r}",
+                file=sys.stderr,
+            )
             actions.append(["fatal", name, f"{error!r:.200}"])
     return json.dumps({"turn": turn, "actions": actions}, separators=(",", ":"))
 
@@ -53,7 +56,7 @@
         try:
             sink.write(reply(doors, line) + "\n")
         except WireError as fault:
-            print(f"petrelway.drill: {fault}", file=sys.stderr)
+            print(f"petrelway.simulator_adapter: {fault}", file=sys.stderr)
             return 1
         sink.flush()
     return 0
--- a/petrelway/drill/codec.py
+++ b/petrelway/simulator_adapter/codec.py
@@ -4,9 +4,9 @@
 
 from base64 import b64encode
 
-from ..indices import Ids
-from ..interface import Decision, Endpoint, Outcome, Stage, Verb, Warmth
-from ..terms import DeploymentSettingsError, read_terms
+from ..common.deployment_settings import DeploymentSettingsError, read_terms
+from ..common.index_table import Ids
+from ..routing.types import Decision, Endpoint, Outcome, Stage, Verb, Warmth
 
 STAGES = {"active": Stage.READY, "leaving": Stage.DRAINING, "left": Stage.GONE}
 OUTCOMES = {
--- a/petrelway/wire/registry_codec.py
+++ b/petrelway/wire/registry_codec.py
@@ -7,7 +7,7 @@
 
 from google.protobuf.message import DecodeError
 
-from ..endpoint_entry import EndpointEntry
+from ..common.endpoint_entry import EndpointEntry
 from . import roster_pb2 as pb
 from .framing import WireError, frame
 
--- a/petrelway/worker/desk.py
+++ b/petrelway/worker/call_scheduler.py
@@ -14,10 +14,10 @@
 from typing import Any, NamedTuple
 
 from ..wire.codec import Load as Report
-from .budget import Budget
-from .keeping import Keeper
-from .loading import Load, Loads
-from .repeats import Repeats
+from .deduplication import Repeats
+from .eviction import Keeper
+from .load_scheduler import Load, Loads
+from .memory_budget import Budget
 
 SUCCEEDED, ERROR, FULL, MISS = 0, 1, 2, 8
 UNTOLD, FOUND, BEGAN, AWAITED, LOAD_FAILED = 0, 1, 2, 3, 4
--- a/petrelway/worker/copy.py
+++ b/petrelway/worker/replica_main.py
@@ -1,4 +1,4 @@
-"""The process of a loaded copy: `python -m petrelway.worker.copy FOLDER ENTRY LANES`. Standard library only.
+"""The process of a loaded copy: `python -m petrelway.worker.replica_main FOLDER ENTRY LANES`. Standard library only.
 
 It imports the entry (that is the start of the load), says that it is ready, then runs calls in LANES
 threads. Frames come on file descriptor 3 and go out on 4: a four-byte length, a kind, an eight-byte call
--- a/petrelway/worker/replicas.py
+++ b/petrelway/worker/replica_process.py
@@ -9,7 +9,7 @@
 
 from twisted.internet import interfaces, protocol
 
-from . import copy as child
+from . import replica_main as child
 
 OUTPUT_KEPT = 4096  # bytes of its last output, for the log
 OUTPUT_BOUND = 1 << 20  # bytes after which more is thrown away and said once
@@ -45,7 +45,7 @@
         reactor.spawnProcess(
             copy,
             sys.executable,
-            [sys.executable, "-m", "petrelway.worker.copy", folder, entry, str(lanes)],
+            [sys.executable, "-m", "petrelway.worker.replica_main", folder, entry, str(lanes)],
             env=environment,
             path=folder,
             childFDs={0: "w", 1: "r", 2: "r", child.IN: "w", child.OUT: "r"},
--- a/petrelway/worker/serving.py
+++ b/petrelway/worker/service.py
@@ -17,11 +17,11 @@
 from ..sockets.listening import listen_tcp
 from ..wire import codec
 from ..wire.framing import Frames, WireError
-from .replicas import ReplicaProcess
-from .desk import Act, Desk, Do
-from .fetching import FetchError, Store
-from .images import Images
+from .call_scheduler import Act, Desk, Do
 from .package import PackageError
+from .package_cache import Images
+from .package_fetch import FetchError, Store
+from .replica_process import ReplicaProcess
 
 LINKS_BACKLOG = 256
 LINKS_BOUND = 1024  # front ends at a time
--- a/tests/compatibility/forms_capacity.py
+++ b/tests/compatibility/forms_capacity.py
@@ -13,9 +13,9 @@
 from petrelway.capacity.report import Report
 from petrelway.capacity.slopes import SLOPES_FILE, SlopeFile, read_slopes, write_slopes
 from petrelway.commands import main
-from petrelway.standin.hollow import FleetPlan
-from petrelway.standin.hollow import Report as HollowReport
-from petrelway.standin.hollow_process import Command
+from petrelway.fakes.hollow_members import FleetPlan
+from petrelway.fakes.hollow_members import Report as HollowReport
+from petrelway.fakes.hollow_process import Command
 
 TARGET = str(ROOT / "examples" / "size-target.jsonnet")
 
--- a/tests/compatibility/forms_console.py
+++ b/tests/compatibility/forms_console.py
@@ -17,8 +17,8 @@
 from twisted.internet import protocol
 
 from petrelway.commands import main
-from petrelway.rehearsal.inmemory import CONSOLE_PORTS, MemoryDay
-from petrelway.standin.memory import Process
+from petrelway.fakes.in_memory_network import Process
+from petrelway.scenarios.inmemory import CONSOLE_PORTS, MemoryDay
 
 TOPIC = "console"
 PAGES = ("service", "executors", "functions", "triggers", "changes", "members", "policy", "own")
--- a/tests/compatibility/forms_drill.py
+++ b/tests/compatibility/forms_drill.py
@@ -8,10 +8,10 @@
 
 from wire_form_cases import Recorder, plain
 
-from petrelway.drill.__main__ import reply
-from petrelway.drill.codec import Door, WireError
-from petrelway.interface import Decision, Verb
-from petrelway.standin.platform import SETTINGS
+from petrelway.fakes.platform_peers import SETTINGS
+from petrelway.routing.types import Decision, Verb
+from petrelway.simulator_adapter.__main__ import reply
+from petrelway.simulator_adapter.codec import Door, WireError
 
 TOPIC = "drill"
 NOW_MS = 1000.0
--- a/tests/compatibility/forms_fleet_words.py
+++ b/tests/compatibility/forms_fleet_words.py
@@ -11,10 +11,10 @@
 from structlog.testing import ReturnLogger
 from twisted.internet.task import Clock
 
-from petrelway.fleet import words
-from petrelway.fleet.members import Members
-from petrelway.fleet.parts import Parts
-from petrelway.fleet.service import FleetService, Listed
+from petrelway.membership import messages as words
+from petrelway.membership.quota_lease import Parts
+from petrelway.membership.service import FleetService, Listed
+from petrelway.membership.swim import Members
 
 TOPIC = "fleet_words"
 CHECK_BYTES = 4
--- a/tests/compatibility/forms_intake.py
+++ b/tests/compatibility/forms_intake.py
@@ -8,10 +8,10 @@
 from twisted.internet.testing import StringTransport
 from wire_form_cases import Recorder, plain
 
-from petrelway.front.ask import Ask, Asks, Catalogue
-from petrelway.front.host import FAILED, SUCCEEDED, REJECTED, Answer, Function
-from petrelway.front.intake import Intake
-from petrelway.interface import Warmth
+from petrelway.gateway.cloudevent_requests import Ask, Asks, Catalogue
+from petrelway.gateway.dispatcher import FAILED, REJECTED, SUCCEEDED, Answer, Function
+from petrelway.gateway.http_listener import Intake
+from petrelway.routing.types import Warmth
 
 TOPIC = "intake"
 ASKS = Asks(
--- a/tests/compatibility/forms_members_page.py
+++ b/tests/compatibility/forms_members_page.py
@@ -9,7 +9,7 @@
 from doubles import Log
 from twisted.internet import task
 
-from petrelway.fleet.service import FleetService, Listed
+from petrelway.membership.service import FleetService, Listed
 
 QUIET_S = 30
 SEED = 5
--- a/tests/compatibility/forms_platform.py
+++ b/tests/compatibility/forms_platform.py
@@ -10,10 +10,12 @@
 
 from wire_form_cases import Recorder, plain
 
-from petrelway.platform import bus, frames, lines
-from petrelway.platform.passed import Passed
-from petrelway.platform.told import Told, read_peers, read_told
-from petrelway.standin import platform as standin
+from petrelway.fakes import platform_peers as standin
+from petrelway.platform import client_codec as lines
+from petrelway.platform import discovery_codec as bus
+from petrelway.platform import executor_codec as frames
+from petrelway.platform.configuration import Told, read_peers, read_told
+from petrelway.platform.opaque_request import Passed
 
 TOPIC = "platform"
 CALL = bytes.fromhex(standin.CALL)
--- a/tests/compatibility/forms_policy_change.py
+++ b/tests/compatibility/forms_policy_change.py
@@ -15,15 +15,15 @@
 
 from petrelway.console import pages
 from petrelway.daemon.shedding import Step
-from petrelway.fleet.members import Whole
-from petrelway.fleet.service import FleetService, Listed
-from petrelway.fleet.words import State
-from petrelway.policy.adopter import Serving, Terms
+from petrelway.membership.messages import State
+from petrelway.membership.service import FleetService, Listed
+from petrelway.membership.swim import Whole
 from petrelway.policy.document import canonical, check, differences, digest
-from petrelway.policy.keepers import Role
+from petrelway.policy.messages import Kept, Propose
+from petrelway.policy.policy_holder import Serving, Terms
+from petrelway.policy.raft import Role
+from petrelway.policy.raft_storage import Store
 from petrelway.policy.service import PolicyService
-from petrelway.policy.store import Store
-from petrelway.policy.words import Kept, Propose
 from petrelway.settings.front import Fleet, FrontEndPlace
 
 TOPIC = "policy_change"
--- a/tests/compatibility/forms_policy_commands.py
+++ b/tests/compatibility/forms_policy_commands.py
@@ -17,8 +17,8 @@
 from click.testing import CliRunner
 from forms_policy_files import FORMS, load
 
-from petrelway.commands.policies import policy
-from petrelway.policy.words import Propose
+from petrelway.commands.policy import policy
+from petrelway.policy.messages import Propose
 
 TOPIC = "policy_commands"
 TERMS_FILE = FORMS / "policy_document" / "after.jsonnet"
--- a/tests/compatibility/forms_policy_document.py
+++ b/tests/compatibility/forms_policy_document.py
@@ -7,7 +7,7 @@
 
 from forms_policy_files import FORMS, load
 
-from petrelway.commands.policies import read_terms
+from petrelway.commands.policy import read_terms
 from petrelway.policy import document
 from petrelway.settings.front import Fleet, FrontEndPlace
 from petrelway.settings.reading import SettingsError
--- a/tests/compatibility/forms_policy_page.py
+++ b/tests/compatibility/forms_policy_page.py
@@ -11,11 +11,11 @@
 from structlog.testing import ReturnLogger
 from twisted.internet.testing import MemoryReactorClock
 
-from petrelway.fleet.service import FleetService, Listed
-from petrelway.policy import words
-from petrelway.policy.adopter import Serving, Terms
-from petrelway.policy.keepers import Role
-from petrelway.policy.party import Party
+from petrelway.membership.service import FleetService, Listed
+from petrelway.policy import messages as words
+from petrelway.policy.policy_holder import Serving, Terms
+from petrelway.policy.policy_member import Party
+from petrelway.policy.raft import Role
 from petrelway.policy.service import PolicyService
 
 TOPIC = "policy_page"
--- a/tests/compatibility/forms_policy_store.py
+++ b/tests/compatibility/forms_policy_store.py
@@ -11,7 +11,8 @@
 import msgspec
 from forms_policy_files import FORMS, load
 
-from petrelway.policy import store, words
+from petrelway.policy import messages as words
+from petrelway.policy import raft_storage as store
 
 TOPIC = "policy_store"
 FLEET, NAME = "gateway", "front-1"
--- a/tests/compatibility/forms_policy_words.py
+++ b/tests/compatibility/forms_policy_words.py
@@ -13,7 +13,8 @@
 from forms_policy_files import load
 from msgspec import inspect
 
-from petrelway.policy import ledger, words
+from petrelway.policy import messages as words
+from petrelway.policy import state_machine as ledger
 
 TOPIC = "policy_words"
 FRAME_HEADER_BYTES = 4
--- a/tests/compatibility/forms_records.py
+++ b/tests/compatibility/forms_records.py
@@ -14,11 +14,11 @@
 
 import petrelway
 from petrelway.commands import main
-from petrelway.emulator.council import Council
 from petrelway.emulator.day import EmulatedDay
-from petrelway.rehearsal.inmemory import MemoryDay
-from petrelway.standin.fault_schedule import FaultSchedule
-from petrelway.standin.memory import World
+from petrelway.emulator.policy_simulation import Council
+from petrelway.fakes.fault_schedule import FaultSchedule
+from petrelway.fakes.in_memory_network import World
+from petrelway.scenarios.inmemory import MemoryDay
 
 TOPIC = "records"
 DAY = FORMS / TOPIC / "day"  # a recorded day, as `petrelway emulate --record` left it
--- a/tests/compatibility/forms_shared_hashes.py
+++ b/tests/compatibility/forms_shared_hashes.py
@@ -6,12 +6,12 @@
 
 from forms_policy_files import load
 
-from petrelway.choice import Function
-from petrelway.choice_state import salt_of
-from petrelway.hash_ring import HashRing, RingWindow
-from petrelway.policy.keepers import Keeper
-from petrelway.policy.words import Kept
-from petrelway.ranking import FunctionRank, shared_rank
+from petrelway.policy.messages import Kept
+from petrelway.policy.raft import Keeper
+from petrelway.routing.hash_ring import HashRing, RingWindow
+from petrelway.routing.ranking import FunctionRank, shared_rank
+from petrelway.routing.router import Function
+from petrelway.routing.state import salt_of
 
 TOPIC = "shared_hashes"
 RING_SIZE = 600  # executors, so that the ring is cut into several arcs
--- a/tests/compatibility/forms_wire.py
+++ b/tests/compatibility/forms_wire.py
@@ -7,9 +7,9 @@
 from twisted.internet.testing import StringTransport
 from wire_form_cases import Recorder, plain
 
-from petrelway.interface import Outcome, Warmth
-from petrelway.endpoint_entry import EndpointEntry
-from petrelway.standin.store import StoreClient, StoreProtocol
+from petrelway.common.endpoint_entry import EndpointEntry
+from petrelway.fakes.model_store import StoreClient, StoreProtocol
+from petrelway.routing.types import Outcome, Warmth
 from petrelway.wire import codec, registry_codec, roster_pb2, store_pb2, worker_pb2
 from petrelway.wire.framing import Frames
 
--- a/tests/compatibility/test_compat_fleet_words.py
+++ b/tests/compatibility/test_compat_fleet_words.py
@@ -4,7 +4,7 @@
 from forms_fleet_words import FILES, TOPIC, build, plain
 from forms_policy_files import as_checked_in, load
 
-from petrelway.fleet import words
+from petrelway.membership import messages as words
 
 MESSAGES = dict(load(TOPIC, "messages.json"))
 
--- a/tests/compatibility/test_compat_policy_page.py
+++ b/tests/compatibility/test_compat_policy_page.py
@@ -1,8 +1,8 @@
 """The page on terms: its keys, the words for states, and the counted messages by name."""
 
 import pytest
-from forms_policy_page import FILES, TOPIC
 from forms_policy_files import as_checked_in, load
+from forms_policy_page import FILES, TOPIC
 
 
 @pytest.mark.parametrize("name", FILES)
--- a/tests/compatibility/test_compat_policy_store.py
+++ b/tests/compatibility/test_compat_policy_store.py
@@ -6,7 +6,7 @@
 from forms_policy_files import as_checked_in, load
 from forms_policy_store import FILES, FLEET, TOPIC, WHOLE_FILE, read_file, seen_by_sqlite, write_file
 
-from petrelway.policy.store import Store, StorageError
+from petrelway.policy.raft_storage import StorageError, Store
 
 RECORDS = load(TOPIC, "records.json")
 
--- a/tests/compatibility/test_compat_policy_words.py
+++ b/tests/compatibility/test_compat_policy_words.py
@@ -14,7 +14,8 @@
     structs_within,
 )
 
-from petrelway.policy import ledger, words
+from petrelway.policy import messages as words
+from petrelway.policy import state_machine as ledger
 
 MESSAGES = dict(load(TOPIC, "messages.json"))
 
--- a/tests/compatibility/test_compat_records.py
+++ b/tests/compatibility/test_compat_records.py
@@ -18,7 +18,7 @@
 )
 
 from petrelway.commands import main
-from petrelway.rehearsal.report import report
+from petrelway.scenarios.report import report
 from petrelway.settings.days import check_day
 
 
--- a/tests/compatibility/test_compat_shared_hashes.py
+++ b/tests/compatibility/test_compat_shared_hashes.py
@@ -1,8 +1,8 @@
 """Front ends of different versions place functions alike without a message: the hashes stay."""
 
 import pytest
-from forms_shared_hashes import FILES, TOPIC
 from forms_policy_files import as_checked_in, load
+from forms_shared_hashes import FILES, TOPIC
 
 
 @pytest.mark.parametrize("name", FILES)
--- a/tests/compatibility/write_policy_document.py
+++ b/tests/compatibility/write_policy_document.py
@@ -1,7 +1,7 @@
 """Writes the forms of policy_document anew from the present code: run it by hand, and read the difference."""
 
-from forms_policy_files import save
 from forms_policy_document import FILES, TOPIC
+from forms_policy_files import save
 
 if __name__ == "__main__":
     for name, form in FILES.items():
--- a/tests/failing.py
+++ b/tests/failing.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from petrelway.standin.failing_calls import FailingCalls, build
+from petrelway.fakes.failing_calls import FailingCalls, build
 
 
 @pytest.fixture(scope="session")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,20 +1,20 @@
 """A small host round a FrontEnd: short calls, decisions as plain lists."""
 
-from petrelway.choice import FrontEnd
-from petrelway.interface import (
+from petrelway.routing.router import FrontEnd
+from petrelway.routing.types import (
+    Capabilities,
     ColdRule,
-    Tenant,
     Decision,
+    Endpoint,
     Idempotency,
     Keeping,
-    Endpoint,
     LoadRation,
     Outcome,
-    Capabilities,
     Place,
+    RequestClass,
     Scope,
     Stage,
-    RequestClass,
+    Tenant,
     Verb,
     Warmth,
 )
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -12,7 +12,7 @@
 import tomllib
 from pathlib import Path
 
-from petrelway.standin.platform import SETTINGS, Bus, configuration
+from petrelway.fakes.platform_peers import SETTINGS, Bus, configuration
 
 ROOT = Path(__file__).parent.parent
 SYN_SENT = "02"
--- a/tests/test_alike.py
+++ b/tests/test_alike.py
@@ -6,14 +6,14 @@
 from doubles import Log, Pipe, clock, lost
 from twisted.internet import defer
 
+from petrelway.fakes.executor_model import Marks
+from petrelway.fakes.executors import Executor, WorkerServer
+from petrelway.fakes.fault_script import write
 from petrelway.settings.days import check_day
-from petrelway.standin.executors import Executor, WorkerServer
-from petrelway.standin.machine import Marks
-from petrelway.standin.script import write
 from petrelway.wire import codec
 from petrelway.wire.framing import Frames
-from petrelway.worker.desk import Desk
-from petrelway.worker.serving import FrontLink, Worker
+from petrelway.worker.call_scheduler import Desk
+from petrelway.worker.service import FrontLink, Worker
 
 SUCCEEDED, ERROR, FULL, MISS = 0, 1, 2, 8
 FOUND, BEGAN, AWAITED, LOAD_FAILED = 1, 2, 3, 4
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -27,9 +27,9 @@
 from petrelway.capacity.slopes import Evidence, SlopeFile, fit, read_slopes, write_slopes
 from petrelway.capacity.workload import Reading, workload
 from petrelway.commands import main
-from petrelway.fleet.words import DATAGRAM_BOUND
+from petrelway.membership.messages import DATAGRAM_BOUND
 from petrelway.settings.reading import SettingsError
-from petrelway.worker.serving import LINKS_BOUND
+from petrelway.worker.service import LINKS_BOUND
 
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "CAPACITY.md"
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -4,8 +4,8 @@
 
 from helpers import START, Host, verbs
 
-from petrelway.choice import LIMIT_LEAST, MANY, Attempt
-from petrelway.interface import Outcome, Stage, Verb, Warmth
+from petrelway.routing.router import LIMIT_LEAST, MANY, Attempt
+from petrelway.routing.types import Outcome, Stage, Verb, Warmth
 
 
 def ask(host, function=0, tenant=0):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -8,7 +8,7 @@
 import pytest
 from nodes import check, node, serving, until
 
-from petrelway.standin.platform import Bus, Executor, Holder, record, request
+from petrelway.fakes.platform_peers import Bus, Executor, Holder, record, request
 
 A, B = (f"{n:016x}" for n in (1, 2))
 STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,6 +9,7 @@
 from test_days import day
 from twisted.internet import protocol
 
+from petrelway.common.structured_logs import Lines
 from petrelway.console import pages
 from petrelway.console.serving import (
     CONNECTIONS_BOUND,
@@ -19,10 +20,9 @@
 )
 from petrelway.console.sketch import TopNames
 from petrelway.console.telemetry import EVENTS_BOUND, NAMES_BOUND, SECONDS, STORIES, Telemetry
-from petrelway.logs import Lines
-from petrelway.front.host import Function
-from petrelway.rehearsal.inmemory import CONSOLE_PORTS, MemoryDay
-from petrelway.standin.memory import Process
+from petrelway.fakes.in_memory_network import Process
+from petrelway.gateway.dispatcher import Function
+from petrelway.scenarios.inmemory import CONSOLE_PORTS, MemoryDay
 
 
 def test_sketch_against_a_plain_counter():
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from test_node_service import Rig, said
 
-from petrelway.standin.platform import FUNCTION, ONCE, answer, known, request
+from petrelway.fakes.platform_peers import FUNCTION, ONCE, answer, known, request
 
 NAME = st.text("abcdefghijklmnopqrstuvwxyz0123456789-", min_size=1, max_size=12)
 NAMES = {"safe", "keyed", "once", "acme", "bolt"}  # of the stand-ins' own deployment
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from petrelway.choice import FrontEnd, Gate
-from petrelway.interface import Stage
-from petrelway.rehearsal.inmemory import MemoryDay
-from petrelway.rules.checker import figures, judge
+from petrelway.invariants.checker import figures, judge
+from petrelway.routing.router import FrontEnd, Gate
+from petrelway.routing.types import Stage
+from petrelway.scenarios.inmemory import MemoryDay
 from petrelway.settings.days import EMULATED_ONLY, KINDS
 
 PLAYED = [k for k in KINDS if k not in EMULATED_ONLY]
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -2,11 +2,11 @@
 
 import random
 
-from petrelway.worker.budget import Budget
-from petrelway.worker.desk import Desk, Do
-from petrelway.worker.keeping import Keeper
-from petrelway.worker.loading import BACK_OFF_MOST_MS, BACK_OFF_MS, Load, Loads
-from petrelway.worker.repeats import Repeats
+from petrelway.worker.call_scheduler import Desk, Do
+from petrelway.worker.deduplication import Repeats
+from petrelway.worker.eviction import Keeper
+from petrelway.worker.load_scheduler import BACK_OFF_MOST_MS, BACK_OFF_MS, Load, Loads
+from petrelway.worker.memory_budget import Budget
 
 SUCCEEDED, ERROR, FULL, MISS = 0, 1, 2, 8
 UNTOLD, FOUND, BEGAN, AWAITED, LOAD_FAILED = 0, 1, 2, 3, 4
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -6,17 +6,17 @@
 import pytest
 from test_days import BREAKERS, day
 
-from petrelway.choice import FrontEnd
 from petrelway.emulator.day import EmulatedDay
-from petrelway.emulator.links import WAITING_BOUND, Cable, EmulatedLink
+from petrelway.emulator.executor_channel import WAITING_BOUND, Cable, EmulatedLink
 from petrelway.emulator.network import DIAL_MS, Network
-from petrelway.front.links import GREETING_MS
-from petrelway.interface import NEVER_RAN, Outcome
-from petrelway.rules.checker import figures, judge
+from petrelway.fakes.fault_script import Happening
+from petrelway.fakes.in_memory_network import Process, World
+from petrelway.gateway.executor_channel import GREETING_MS
+from petrelway.invariants.checker import figures, judge
+from petrelway.routing.router import FrontEnd
+from petrelway.routing.types import NEVER_RAN, Outcome
 from petrelway.settings.days import EMULATED_ONLY, KINDS, check_day, check_playable
 from petrelway.settings.reading import SettingsError
-from petrelway.standin.memory import Process, World
-from petrelway.standin.script import Happening
 
 
 def play(tree, kind=FrontEnd, **how):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,7 +18,16 @@
 import pytest
 from nodes import ROOT, WAIT_S, Client, check, node, serving, settings, spare, start, until
 
-from petrelway.standin.platform import SETTINGS, Bus, Executor, Holder, Late, configuration, record, request
+from petrelway.fakes.platform_peers import (
+    SETTINGS,
+    Bus,
+    Executor,
+    Holder,
+    Late,
+    configuration,
+    record,
+    request,
+)
 
 A, B, C = (f"{n:016x}" for n in (1, 2, 3))
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -20,7 +20,7 @@
     open_results,
     play,
 )
-from petrelway.emulator.hunt import Find, cut_down, drawn, simpler
+from petrelway.emulator.fault_search import Find, cut_down, drawn, simpler
 from petrelway.emulator.results import Results, ResultsFileError, load
 from petrelway.settings.days import KINDS, check_day
 from petrelway.settings.reading import SettingsError
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -10,8 +10,8 @@
 from nodes import WAIT_S, node, until
 from twisted.internet.testing import MemoryReactorClock
 
+from petrelway.fakes.platform_peers import Bus, Executor, request
 from petrelway.sockets.datagrams import DatagramPort
-from petrelway.standin.platform import Bus, Executor, request
 
 REQUESTS = 200
 ONE_IN_TEN = 100
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,19 +8,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from petrelway.emulator.rain import draw
-from petrelway.emulator.sea import Sea
-from petrelway.fleet import members as members_module
-from petrelway.fleet import parts as parts_module
-from petrelway.fleet import words
-from petrelway.fleet.members import Members, Verb, Whole
-from petrelway.fleet.parts import WAIT_MS, Parts
-from petrelway.fleet.words import Kind, News, Start, State, Word, MessageError
-from petrelway.rules import fleet
-from petrelway.rules.explorer import explore
-from petrelway.emulator import partners
-from petrelway.standin.memory import World
-from petrelway.standin.fault_schedule import NetworkFault, FaultSchedule
+from petrelway.emulator import quota_model as partners
+from petrelway.emulator.membership_simulation import Sea
+from petrelway.emulator.random_membership_faults import draw
+from petrelway.fakes.fault_schedule import FaultSchedule, NetworkFault
+from petrelway.fakes.in_memory_network import World
+from petrelway.invariants import membership_checker as fleet
+from petrelway.invariants.state_explorer import explore
+from petrelway.membership import messages as words
+from petrelway.membership import quota_lease as parts_module
+from petrelway.membership import swim as members_module
+from petrelway.membership.messages import Kind, MessageError, News, Start, State, Word
+from petrelway.membership.quota_lease import WAIT_MS, Parts
+from petrelway.membership.swim import Members, Verb, Whole
 
 A, B, C = 11, 22, 33
 EVER = math.inf
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from petrelway.rules.records import read
+from petrelway.invariants.records import read
 
 PETRELWAY = (sys.executable, "-m", "petrelway")
 ROOT = Path(__file__).parent.parent
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -9,13 +9,13 @@
 from twisted.internet import error, task
 from twisted.python.failure import Failure
 
-from petrelway.fleet import words
-from petrelway.fleet.service import FleetService, Listed
-from petrelway.fleet.words import Kind, Start, State, Word, digest
+from petrelway.fakes.platform_peers import SETTINGS, configuration
+from petrelway.membership import messages as words
+from petrelway.membership.messages import Kind, Start, State, Word, digest
+from petrelway.membership.service import FleetService, Listed
 from petrelway.node.service import NodeService
-from petrelway.platform.faults import ProtocolError
-from petrelway.platform.told import read_peers, read_told
-from petrelway.standin.platform import SETTINGS, configuration
+from petrelway.platform.configuration import read_peers, read_told
+from petrelway.platform.errors import ProtocolError
 
 ME, OTHER, THIRD = (Listed(name, f"10.0.0.{i}", 7946) for i, name in enumerate("abc", 1))
 
--- a/tests/test_forward_clock.py
+++ b/tests/test_forward_clock.py
@@ -6,7 +6,7 @@
 from helpers import Host, verbs
 from test_host import Rig
 
-from petrelway.interface import Idempotency, Outcome, Part, Verb, Warmth
+from petrelway.routing.types import Idempotency, Outcome, Part, Verb, Warmth
 
 STEPS_MS = (-3_600_000.0, -5_000.0, -1.0, 5_000.0, 3_600_000.0)
 TTL_MS = 1000.0
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -14,23 +14,23 @@
 from twisted.internet import error, task
 from twisted.python.failure import Failure
 
-from petrelway.fleet import words
-from petrelway.fleet.words import Kind, News, Start, State, Word, digest
-from petrelway.front import service as front_service
-from petrelway.front.service import FrontEndService
-from petrelway.node import service as node_service
-from petrelway.node.service import NodeService
-from petrelway.platform.told import read_told
-from petrelway.standin.hollow import (
+from petrelway.fakes.hollow_members import (
     FLEET_BOUND,
     FLEET_NAME,
     MEMBERS_BOUND,
     FleetPlan,
-    HollowMembersError,
     HollowGroup,
+    HollowMembersError,
     hollow_member,
 )
-from petrelway.standin.platform import SETTINGS, configuration
+from petrelway.fakes.platform_peers import SETTINGS, configuration
+from petrelway.gateway import service as front_service
+from petrelway.gateway.service import FrontEndService
+from petrelway.membership import messages as words
+from petrelway.membership.messages import Kind, News, Start, State, Word, digest
+from petrelway.node import service as node_service
+from petrelway.node.service import NodeService
+from petrelway.platform.configuration import read_told
 
 ROOT = Path(__file__).parent.parent
 PLAN = FleetPlan(size=24, network=77, port=20_000, seed=11)
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -5,19 +5,19 @@
 from doubles import Heard, Log, Net, clock, lost
 from twisted.internet import defer
 
-from petrelway.choice import FrontEnd
-from petrelway.front.host import FAILURES_BOUND, Function, Host
-from petrelway.interface import (
+from petrelway.gateway.dispatcher import FAILURES_BOUND, Function, Host
+from petrelway.routing.router import FrontEnd
+from petrelway.routing.types import (
+    Capabilities,
     ColdRule,
-    Tenant,
     Idempotency,
     Keeping,
     LoadRation,
     Outcome,
-    Capabilities,
     Place,
-    Scope,
     RequestClass,
+    Scope,
+    Tenant,
 )
 from petrelway.wire import codec
 from petrelway.wire.registry_codec import EndpointEntry
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -12,12 +12,12 @@
 from twisted.internet.testing import StringTransport
 
 from petrelway.events.single import ATTRIBUTES_BOUND, EventError, read
-from petrelway.front.ask import Ask, Asks, Catalogue
-from petrelway.front.backoff import Backoff
-from petrelway.front.host import FAILED, SUCCEEDED, REJECTED, Answer, Function
-from petrelway.front.intake import BODY_BOUND, Intake
-from petrelway.front.registry import Follower
-from petrelway.interface import Warmth
+from petrelway.gateway.backoff import Backoff
+from petrelway.gateway.cloudevent_requests import Ask, Asks, Catalogue
+from petrelway.gateway.dispatcher import FAILED, REJECTED, SUCCEEDED, Answer, Function
+from petrelway.gateway.http_listener import BODY_BOUND, Intake
+from petrelway.gateway.registry_client import Follower
+from petrelway.routing.types import Warmth
 from petrelway.wire import registry_codec
 
 CATALOGUE = Catalogue([Function("f", 100.0, 2, 0.0), Function("station-*", 50.0, 4, 0.0)])
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -4,9 +4,9 @@
 
 from doubles import Heard, Log, Net, clock, lost
 
-from petrelway.front.links import BUFFER_BYTES, CLOGGED_MS, GREETING_MS, WAITING_BOUND, Link
-from petrelway.front.proof import Ledger
-from petrelway.interface import NEVER_RAN, Outcome
+from petrelway.gateway.attempt_ledger import Ledger
+from petrelway.gateway.executor_channel import BUFFER_BYTES, CLOGGED_MS, GREETING_MS, WAITING_BOUND, Link
+from petrelway.routing.types import NEVER_RAN, Outcome
 from petrelway.wire import codec
 from petrelway.wire.framing import frame
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -7,12 +7,12 @@
 import pytest
 from twisted.web import resource, server
 
+from petrelway.fakes.in_memory_network import Process, World
 from petrelway.load.arrivals import Due, Rate, TraceError, drawn, from_trace
 from petrelway.load.plan import LoadPlan
 from petrelway.load.running import merged, part_of
 from petrelway.load.sender import Sender
 from petrelway.settings.reading import SettingsError
-from petrelway.standin.memory import Process, World
 
 
 class Target(resource.Resource):
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -4,20 +4,20 @@
 
 from doubles import clock
 
-from petrelway.standin.machine import (
+from petrelway.fakes.executor_model import (
     AWAITED,
     BEGAN,
     ERROR,
     FOUND,
-    SUCCEEDED,
     FULL,
     LOAD_FAILED,
     MISS,
+    SUCCEEDED,
     Machine,
     Marks,
     Work,
 )
-from petrelway.standin.store import REFUSE_MS, Store
+from petrelway.fakes.model_store import REFUSE_MS, Store
 
 
 class Rig:
--- a/tests/test_node_door.py
+++ b/tests/test_node_door.py
@@ -4,13 +4,13 @@
 
 from doubles import Log, Pipe, clock, lost
 
-from petrelway.front.host import FAILED, SUCCEEDED, REJECTED, Answer, PendingAnswer
-from petrelway.node import door as doors
-from petrelway.node.door import Door
-from petrelway.obligations import client_connection as connections
-from petrelway.obligations.client_connection import CloseReason
-from petrelway.platform import lines
-from petrelway.standin.platform import CALL, request
+from petrelway.fakes.platform_peers import CALL, request
+from petrelway.gateway.dispatcher import FAILED, REJECTED, SUCCEEDED, Answer, PendingAnswer
+from petrelway.node import client_listener as doors
+from petrelway.node import connection_state as connections
+from petrelway.node.client_listener import Door
+from petrelway.node.connection_state import CloseReason
+from petrelway.platform import client_codec as lines
 
 ASKS = lines.Asks([("safe", 4000.0, False), ("keyed", 4000.0, True)], ["acme", "bolt"])
 
--- a/tests/test_node_follower.py
+++ b/tests/test_node_follower.py
@@ -4,8 +4,8 @@
 
 from doubles import Log, Net, clock, lost
 
-from petrelway.node.follower import SILENCE_MS, STEADY_MS, Follower
-from petrelway.standin.platform import event, known, record
+from petrelway.fakes.platform_peers import event, known, record
+from petrelway.node.discovery import SILENCE_MS, STEADY_MS, Follower
 
 
 class Rig:
--- a/tests/test_node_links.py
+++ b/tests/test_node_links.py
@@ -4,11 +4,11 @@
 
 from doubles import Log, Net, clock, lost
 
-from petrelway.interface import Outcome
-from petrelway.node import links
-from petrelway.node.links import PlatformLink, Room
-from petrelway.platform.passed import Passed
-from petrelway.standin.platform import CALL, FUNCTION, answer, commands
+from petrelway.fakes.platform_peers import CALL, FUNCTION, answer, commands
+from petrelway.node import executor_pool as links
+from petrelway.node.executor_pool import PlatformLink, Room
+from petrelway.platform.opaque_request import Passed
+from petrelway.routing.types import Outcome
 
 
 class Ears:
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -10,7 +10,7 @@
 
 from nodes import ROOT, WAIT_S, Client, serving, spare, start, until
 
-from petrelway.standin.platform import Bus, Executor, configuration, request
+from petrelway.fakes.platform_peers import Bus, Executor, configuration, request
 
 
 def test_a_day_of_one_process(tmp_path):
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -5,9 +5,7 @@
 from doubles import Log, Net, Pipe, lost
 from twisted.internet import task
 
-from petrelway.node.service import OPEN_MS, NodeService
-from petrelway.platform.told import read_told
-from petrelway.standin.platform import (
+from petrelway.fakes.platform_peers import (
     CALL,
     SETTINGS,
     answer,
@@ -17,6 +15,8 @@
     record,
     request,
 )
+from petrelway.node.service import OPEN_MS, NodeService
+from petrelway.platform.configuration import read_told
 
 
 class Port:
--- a/tests/test_one_clock.py
+++ b/tests/test_one_clock.py
@@ -1,4 +1,4 @@
-"""No code but `petrelway/clock.py` reads the wall clock for a span, or takes a reactor without its clock."""
+"""No code but `petrelway/common/process_clock.py` reads the wall clock for a span, or takes a reactor without its clock."""
 
 import ast
 
@@ -10,10 +10,10 @@
     ("datetime", "now"), ("datetime", "utcnow"), ("datetime", "today"), ("date", "today"),
 }  # fmt: skip
 READS_THE_DATE = {  # for people, never for a span: file -> how often
-    "petrelway/clock.py": 1,  # the one place
-    "petrelway/commands/policies.py": 2,  # the date of a change, and how a date is printed
+    "petrelway/common/process_clock.py": 1,  # the one place
+    "petrelway/commands/policy.py": 2,  # the date of a change, and how a date is printed
 }
-TAKES_THE_REACTOR = {"petrelway/clock.py"}
+TAKES_THE_REACTOR = {"petrelway/common/process_clock.py"}
 
 
 def sources():
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from petrelway.worker.images import Images
 from petrelway.worker.package import MANIFEST, PackageError, build, check, digest_of, read_manifest, unpack
+from petrelway.worker.package_cache import Images
 
 MODEL = b"def run(body, call):\n    return body\n"
 TOLD = {"name": "m", "version": "1", "entry": "model:run", "memory_mb": 50, "lanes": 2}
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,13 +5,9 @@
 
 import pytest
 
-from petrelway.interface import Idempotency, Outcome, Warmth
-from petrelway.endpoint_entry import EndpointEntry
-from petrelway.platform import bus, frames, lines
-from petrelway.platform.faults import ProtocolError
-from petrelway.platform.passed import Passed
-from petrelway.platform.told import read_told
-from petrelway.standin.platform import (
+from petrelway.common.deployment_settings import DeploymentSettingsError, read_terms
+from petrelway.common.endpoint_entry import EndpointEntry
+from petrelway.fakes.platform_peers import (
     CALL,
     FUNCTION,
     ONCE,
@@ -24,7 +20,13 @@
     record,
     request,
 )
-from petrelway.terms import DeploymentSettingsError, read_terms
+from petrelway.platform import client_codec as lines
+from petrelway.platform import discovery_codec as bus
+from petrelway.platform import executor_codec as frames
+from petrelway.platform.configuration import read_told
+from petrelway.platform.errors import ProtocolError
+from petrelway.platform.opaque_request import Passed
+from petrelway.routing.types import Idempotency, Outcome, Warmth
 
 
 class Said:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,15 +10,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from petrelway.emulator import quorum
-from petrelway.emulator.council import OWN, Council, make
-from petrelway.emulator.storm import play
-from petrelway.policy import adopter, changes, keepers, ledger, party, words
-from petrelway.policy.adopter import Adopter, Serving, Terms
+from petrelway.emulator import policy_model as quorum
+from petrelway.emulator.policy_simulation import OWN, Council, make
+from petrelway.emulator.random_policy_faults import play
+from petrelway.fakes.fault_schedule import FaultSchedule, NetworkFault
+from petrelway.fakes.in_memory_network import World
+from petrelway.invariants.policy_checker import judge
+from petrelway.policy import change_coordinator as changes
+from petrelway.policy import messages as words
+from petrelway.policy import policy_holder as adopter
+from petrelway.policy import policy_member as party
+from petrelway.policy import raft as keepers
+from petrelway.policy import state_machine as ledger
 from petrelway.policy.document import canonical, check, differences, digest, read
-from petrelway.policy.keepers import Keeper, Role, Verb
-from petrelway.policy.store import Store, StorageError, after
-from petrelway.policy.words import (
+from petrelway.policy.messages import (
     Abandoned,
     AskVote,
     Decided,
@@ -26,19 +31,19 @@
     Entry,
     Kept,
     Look,
+    MessageError,
     Moment,
     Opened,
     Prepare,
     Proposed,
     Told,
     Vote,
-    MessageError,
 )
-from petrelway.rules.policy import judge
+from petrelway.policy.policy_holder import Adopter, Serving, Terms
+from petrelway.policy.raft import Keeper, Role, Verb
+from petrelway.policy.raft_storage import StorageError, Store, after
 from petrelway.settings.front import Fleet, FrontEndPlace
 from petrelway.settings.reading import SettingsError
-from petrelway.standin.memory import World
-from petrelway.standin.fault_schedule import NetworkFault, FaultSchedule
 from petrelway.wire.framing import HEADER
 
 # -- words
@@ -855,7 +860,7 @@
 def test_what_differs_and_what_is_dangerous_is_said():
     before = canonical(check("a", {**TREE, "customers": [{"name": "n", "portion": 0.5, "rate": 5}]}, ALONE))
     tree = json.loads(before)
-    tree["tariffs"][0].update(deadline_ms=900.0, idempotency="one-shot")
+    tree["tariffs"][0].update(outer_ms=900.0, effect="one-shot")
     tree["customers"] = [{"name": "s", "portion": 0.5, "rate": 9.0}]
     found = {d.where: d for d in differences(before, json.dumps(tree))}
     assert found["tariffs[quick].outer_ms"].danger and found["tariffs[quick].effect"].danger
--- a/tests/test_policy_process.py
+++ b/tests/test_policy_process.py
@@ -15,14 +15,14 @@
 
 import pytest
 
-from petrelway.policy.store import Store
-from petrelway.rehearsal.conductor import Ports, write_fronts, write_plan
-from petrelway.rules.policy import judge
-from petrelway.rules.records import read
+from petrelway.fakes.fault_script import write
+from petrelway.fakes.scenario_processes import Plan
+from petrelway.invariants.policy_checker import judge
+from petrelway.invariants.records import read
+from petrelway.policy.raft_storage import Store
+from petrelway.scenarios.runner import Ports, write_fronts, write_plan
 from petrelway.settings.days import check_day
 from petrelway.settings.reading import evaluate
-from petrelway.standin.parts import Plan
-from petrelway.standin.script import write
 
 PETRELWAY = (sys.executable, "-m", "petrelway")
 ROOT = Path(__file__).parent.parent
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -10,20 +10,20 @@
 
 import pytest
 
-from petrelway.choice import FrontEnd
-from petrelway.interface import (
+from petrelway.routing.router import FrontEnd
+from petrelway.routing.types import (
+    Capabilities,
     ColdRule,
-    Tenant,
+    Endpoint,
     Idempotency,
     Keeping,
-    Endpoint,
     LoadRation,
     Outcome,
-    Capabilities,
     Place,
+    RequestClass,
     Scope,
     Stage,
-    RequestClass,
+    Tenant,
     Verb,
     Warmth,
 )
--- a/tests/test_ramp_process.py
+++ b/tests/test_ramp_process.py
@@ -6,7 +6,7 @@
 
 from nodes import WAIT_S, Client, serving, spare, start, until
 
-from petrelway.standin.platform import SETTINGS, Bus, Executor, configuration, record, request
+from petrelway.fakes.platform_peers import SETTINGS, Bus, Executor, configuration, record, request
 
 FRONT_ENDS, WARM, SECONDS = 20, 4, 4.0
 MULTIPLE, SPAN_S, START_SHARE, COLD_S = 4.0, 1.5, 0.05, 10.0
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from petrelway import ranking
-from petrelway.hash_ring import CHANGES_KEPT, HASH_MASK, HashRing, RingWindow
-from petrelway.ranking import PHASE, POINT, WINDOW, FunctionRank, shared_rank
+from petrelway.routing import ranking
+from petrelway.routing.hash_ring import CHANGES_KEPT, HASH_MASK, HashRing, RingWindow
+from petrelway.routing.ranking import PHASE, POINT, WINDOW, FunctionRank, shared_rank
 
 
 class Member:
--- a/tests/test_ranking_front_end.py
+++ b/tests/test_ranking_front_end.py
@@ -8,8 +8,8 @@
 from helpers import Host, verbs
 from test_ranking import model
 
-from petrelway.interface import Idempotency, Endpoint, Outcome, Scope, Stage, Verb, Warmth
-from petrelway.ranking import WINDOW
+from petrelway.routing.ranking import WINDOW
+from petrelway.routing.types import Endpoint, Idempotency, Outcome, Scope, Stage, Verb, Warmth
 
 EXECUTORS = 3 * WINDOW
 ZONES = 3
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,8 +2,8 @@
 
 from helpers import START, Host, verbs
 
-from petrelway.choice import HOLD_SHARE, LOOK_AGAIN_MS
-from petrelway.interface import Idempotency, Outcome, Part, Scope, Stage, Verb
+from petrelway.routing.router import HOLD_SHARE, LOOK_AGAIN_MS
+from petrelway.routing.types import Idempotency, Outcome, Part, Scope, Stage, Verb
 
 H, S, ONE = Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT
 ALL, ZONE, CELL = Scope.ALL, Scope.ZONE, Scope.CELL
--- a/tests/test_rules_checker.py
+++ b/tests/test_rules_checker.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from petrelway.rules.checker import Figures, RequestClassRule, judge
-from petrelway.rules.records import RecordError, read
+from petrelway.invariants.checker import Figures, RequestClassRule, judge
+from petrelway.invariants.records import RecordError, read
 
 TOLD = Figures(
     {
--- a/tests/test_scale_front_end.py
+++ b/tests/test_scale_front_end.py
@@ -14,8 +14,8 @@
 from helpers import Host
 
 from petrelway.capacity.slopes import Slope, read_slopes
-from petrelway.interface import Outcome, Stage, Verb
-from petrelway.ranking import WINDOW
+from petrelway.routing.ranking import WINDOW
+from petrelway.routing.types import Outcome, Stage, Verb
 
 SMALL, FACTOR = 400, 8
 LARGE = FACTOR * SMALL
--- a/tests/test_scale_members.py
+++ b/tests/test_scale_members.py
@@ -4,9 +4,9 @@
 import pytest
 
 from petrelway.capacity.slopes import read_slopes
-from petrelway.emulator.introduced import introduced_sea
-from petrelway.fleet.words import CHECK, HEAD, NEWS, NEWS_MOST, State
-from petrelway.standin.hollow_memory import informed_member_bytes
+from petrelway.emulator.settled_membership import introduced_sea
+from petrelway.fakes.hollow_memory import informed_member_bytes
+from petrelway.membership.messages import CHECK, HEAD, NEWS, NEWS_MOST, State
 
 SMALL = 48
 TIMES = 8
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,11 +9,11 @@
 from click.testing import CliRunner
 
 from petrelway.commands import main
-from petrelway.rehearsal.benchday import RATE_BOUND, convert
+from petrelway.fakes.fault_script import write
+from petrelway.scenarios.bench_day import RATE_BOUND, convert
 from petrelway.settings.days import check_day, read_day
 from petrelway.settings.front import check_front_end
 from petrelway.settings.reading import SettingsError, evaluate
-from petrelway.standin.script import write
 
 FRONT = {
     "front_end": {"name": "x", "hall": "a"},
--- a/tests/test_settled_closes.py
+++ b/tests/test_settled_closes.py
@@ -3,7 +3,7 @@
 import pytest
 from nodes import node, until
 
-from petrelway.standin.platform import Holder, request
+from petrelway.fakes.platform_peers import Holder, request
 
 A, B = (f"{n:016x}" for n in (1, 2))
 INTERRUPT = b'{"jsonrpc":"2.0","method":"interrupt","params":{}}\n'
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from petrelway.rules.checker import figures, judge
-from petrelway.rules.records import read
+from petrelway.invariants.checker import figures, judge
+from petrelway.invariants.records import read
 from petrelway.settings.days import check_day
 from petrelway.wire import codec, registry_codec
 from petrelway.wire.framing import Frames
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -3,7 +3,7 @@
 from doubles import Log
 from test_host import Rig
 
-from petrelway.start_times import StartTimes
+from petrelway.common.start_times import StartTimes
 from petrelway.wire.registry_codec import EndpointEntry
 
 HOUR_MS = 3_600_000.0
--- a/tests/test_worker_process.py
+++ b/tests/test_worker_process.py
@@ -15,7 +15,7 @@
 import pytest
 from twisted.internet import reactor
 
-from petrelway.standin.packages import Shelf, site
+from petrelway.fakes.package_store import Shelf, site
 from petrelway.wire import codec
 from petrelway.wire.framing import Frames
 from petrelway.worker.package import build
