--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -35,8 +35,8 @@
 from petrelway.fakes.in_memory_network import World
 from petrelway.invariants.policy_checker import judge
 from petrelway.policy.document import digest
-from petrelway.policy.messages import Told
-from petrelway.policy.policy_holder import Adopter, Terms
+from petrelway.policy.messages import PolicyNotification
+from petrelway.policy.policy_holder import PolicyHolder, PreparedPolicy
 
 ROOT = Path(__file__).parent.parent
 
@@ -124,9 +124,19 @@
 
 def look() -> None:
     """Against a call that does nothing, in one run; and against the CPU of a whole request."""
-    a = Adopter(0.0, "m", 7, Terms(0, digest(OWN), OWN), make)
-    a.told(0.0, Told(term=1, token=7, at=1, settled=0, version=1, digest="x", keepers=(), asked_ms=0.0,
-                     document='{"adoption":{"silent":"stop"}}'))  # fmt: skip
+    a = PolicyHolder(0.0, "m", 7, PreparedPolicy(0, digest(OWN), OWN), make)
+    notification = PolicyNotification(
+        term=1,
+        token=7,
+        state_index=1,
+        resolved_index=0,
+        version=1,
+        digest="x",
+        document='{"adoption":{"silent":"stop"}}',
+        voters=(),
+        queried_ms=0.0,
+    )
+    a.receive_notification(0.0, notification)
 
     def spent(what) -> float:
         began = time.perf_counter()
@@ -134,7 +144,7 @@
             what(10.0)
         return (time.perf_counter() - began) / 200_000 * 1e6
 
-    pairs = [(spent(a.look), spent(lambda now: None)) for _ in range(7)]
+    pairs = [(spent(a.admitting_policy), spent(lambda now: None)) for _ in range(7)]
     one, nothing = statistics.median(p[0] for p in pairs), statistics.median(p[1] for p in pairs)
     print(f"a look at terms that hold on a lease: {one:.2f} us, a call that does nothing {nothing:.2f} us")
 
--- a/petrelway/capacity/entries.py
+++ b/petrelway/capacity/entries.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from ..platform.discovery_codec import RECORDS_BOUND
-from ..policy.messages import MEMBERS_BOUND
+from ..policy.log_entries import MAX_MEMBERS
 from .size import Size
 from .workload import Workload
 
@@ -128,7 +128,7 @@
 ONE_CORE = _bound("one core of one process", round(US_A_S))
 ONE_AT_A_TIME = _budget("changes one after the other", lambda s: 1.0)
 EVENT_RECORDS = _bound("RECORDS_BOUND of one event", RECORDS_BOUND)
-POLICY_MEMBERS = _bound("MEMBERS_BOUND of a policy message", MEMBERS_BOUND)
+POLICY_MEMBERS = _bound("MEMBERS_BOUND of a policy message", MAX_MEMBERS)
 WORKER_LINKS = _bound("LINKS_BOUND of a worker", WORKER_LINKS_BOUND)
 
 
--- a/petrelway/console/pages.py
+++ b/petrelway/console/pages.py
@@ -136,10 +136,10 @@
     yield
     if d.policy is None:
         return {"version": None, "rows": [], "of": 0, "from": 0, "search": ""}
-    seen = d.policy.seen()
+    seen = d.policy.status()
     wanted = asked.get("document", "")
-    if d.policy.party.keeper is None and (wanted or "history" in asked):
-        d.policy.recall()
+    if d.policy.member.raft is None and (wanted or "history" in asked):
+        d.policy.request_history()
         for _ in range(HISTORY_LOOKS):
             yield HISTORY_LOOK_MS
     history = d.policy.history()
@@ -153,7 +153,7 @@
         yield
     ended = [
         {"change": short(s.proposal), "version": s.version, "why": short(s.why)}
-        for s in reversed(history.settled if history else ())
+        for s in reversed(history.outcomes if history else ())
     ]
     if wanted:
         found = [v.document for v in (history.versions if history else ()) if str(v.number) == wanted]
--- a/petrelway/console/serving.py
+++ b/petrelway/console/serving.py
@@ -16,7 +16,7 @@
 
 from ..background.planner import Class
 from ..background.running import Background, RefusedError
-from ..policy.messages import Propose
+from ..policy.messages import ChangeRequest
 from . import pages
 
 HERE = Path(__file__).parent
@@ -320,11 +320,11 @@
 
     def trusted(self, request: Request):
         try:
-            wish = msgspec.json.decode(request.content.read(), type=Propose)
+            wish = msgspec.json.decode(request.content.read(), type=ChangeRequest)
         except (msgspec.MsgspecError, ValueError) as problem:
             _answer(request, 400, b"text/plain", f"can't be read: {problem}\n".encode()[:500])
             return server.NOT_DONE_YET
-        progress = self.console.daemon.policy.wished(wish)
+        progress = self.console.daemon.policy.request_change(wish)
         _answer(request, 200, b"application/json", msgspec.json.encode(progress))
         return server.NOT_DONE_YET
 
--- a/petrelway/emulator/policy_model.py
+++ b/petrelway/emulator/policy_model.py
@@ -14,13 +14,14 @@
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
-from ..policy.change_coordinator import Try
+from ..policy.change_coordinator import ProbePort, SendMessage
 from ..policy.document import digest
-from ..policy.messages import Kept, Progress, Propose
-from ..policy.policy_holder import Terms
-from ..policy.policy_member import Keep, Party, Tell
-from ..policy.raft import Role
-from ..policy.raft_storage import after
+from ..policy.log_entries import PersistentState
+from ..policy.messages import ChangeProgress, ChangeRequest
+from ..policy.policy_holder import PreparedPolicy
+from ..policy.policy_member import PersistState, PolicyMember
+from ..policy.raft_state import RaftRole
+from ..policy.raft_storage import updated_state
 from .policy_simulation import OWN, make
 
 STEP_MS = 500.0
@@ -41,8 +42,8 @@
 
     def __init__(self, keepers: int, size: int) -> None:
         self.keepers, self.names = keepers, [f"front-{i}" for i in range(size)]
-        self.ones: dict[int, Party] = {}
-        self.disks = {i: Kept() for i in range(keepers)}
+        self.ones: dict[int, PolicyMember] = {}
+        self.disks = {i: PersistentState() for i in range(keepers)}
         self.at_ms, self.steps, self.tokens = 1e6, 0, 0
         self.stopped: dict[int, int] = {}  # until this step
         self.closed: dict[tuple[str, int], int] = {}  # kind of fault, whom -> until this step
@@ -50,7 +51,7 @@
         self.dies: tuple[int, int, str] | None = None  # who, at which sync from now, before or after it
         self.late: deque[tuple[int, int, int, Any]] = deque()
         self.firsts: dict[int, tuple[float, str]] = {}  # version -> when first taken under, its digest
-        self.wishes: dict[str, Propose] = {}
+        self.wishes: dict[str, ChangeRequest] = {}
         self.adopted: dict[str, int] = {}  # as operators were told
         self.turns: deque[int] = deque()
         for i in range(size):
@@ -62,10 +63,10 @@
     def start(self, i: int) -> None:
         self.tokens += 1
         names = tuple(self.names[: self.keepers])
-        own = Terms(0, digest(OWN), OWN)
+        own = PreparedPolicy(0, digest(OWN), OWN)
         kept = self.disks.get(i)
         token = self.tokens * 10 + i
-        self.ones[i] = Party(self.now(i), self.names[i], token, self.names, names, own, make, kept)
+        self.ones[i] = PolicyMember(self.now(i), self.names[i], token, self.names, names, own, make, kept)
         self.pull(i)
 
     def kill(self, i: int, steps: int) -> None:
@@ -80,21 +81,21 @@
 
     def pull(self, i: int) -> None:
         party = self.ones[i]
-        while (d := party.decide(self.now(i))) is not None:
-            if isinstance(d, Keep):
+        while (d := party.next_action(self.now(i))) is not None:
+            if isinstance(d, PersistState):
                 when = self._dies(i)
                 if when == "before":
                     return
-                self.disks[i] = after(self.disks[i], d.kept, d.since)
+                self.disks[i] = updated_state(self.disks[i], d.persistent_state, d.after_index)
                 if when:
                     return
-            elif isinstance(d, Tell):
-                self._tell(i, self.names.index(d.to), party.token, d.word)
-            elif isinstance(d, Try):
+            elif isinstance(d, SendMessage):
+                self._tell(i, self.names.index(d.to), party.token, d.message)
+            elif isinstance(d, ProbePort):
                 to = self.names.index(d.to)
                 if to not in self.ones and not self._shut("cut", i) and not self._shut("cut", to):
-                    party.tried(self.now(i), d.to, self.now(i), True)
-        party.said.clear()
+                    party.port_probed(d.to, self.now(i), True)
+        party.events.clear()
         party.counts.clear()
         self.take(i)
 
@@ -132,14 +133,14 @@
                 self.late.append((i, to, token, word))
             elif to in self.ones:
                 self.take(to)
-                self.ones[to].heard(self.now(to), self.names[i], token, word)
+                self.ones[to].receive(self.now(to), self.names[i], token, word)
                 self.pull(to)
 
     def take(self, i: int) -> None:
         """It would take a request now, if one came."""
         if not self.runs(i):
             return
-        terms, _ = self.ones[i].terms(self.now(i))
+        terms, _ = self.ones[i].admitting_policy(self.now(i))
         if terms is None:
             return
         version, told = terms.version, terms.digest
@@ -149,8 +150,10 @@
             raise Violation(f"version {version} is two documents")
         for later, (at, _) in self.firsts.items():
             if later > version and self.at_ms - at > APART_MS:
-                raise Violation(f"{self.names[i]} takes under version {version} {self.at_ms - at:.0f} ms after"
-                             f" version {later} began")  # fmt: skip
+                raise Violation(
+                    f"{self.names[i]} takes under version {version} {self.at_ms - at:.0f} ms after"
+                    f" version {later} began"
+                )
 
     # -- a step
 
@@ -195,7 +198,7 @@
             self.closed[kind, i] = self.steps + more[0] - 1
 
     def _wish(self, id: str, base: int, text: str) -> None:
-        self.wishes[id] = Propose(id=id, base=base, document=text, base_document=OWN, by="", at=0.0)
+        self.wishes[id] = ChangeRequest(id=id, base=base, document=text, base_document=OWN, by="", at=0.0)
 
     def _operators(self) -> None:
         """Whoever runs and is not a keeper, if there is one, passes the operators' words on."""
@@ -203,7 +206,7 @@
         if via is None:
             return
         for id, propose in list(self.wishes.items()):
-            progress: Progress = self.ones[via].wished(self.now(via), propose)
+            progress: ChangeProgress = self.ones[via].request_change(self.now(via), propose)
             if progress.state == "under way":
                 self.pull(via)
                 continue
@@ -212,15 +215,15 @@
                 self.adopted[id] = progress.version
 
     def _statements(self) -> None:
-        leaders = [p.keeper for p in self.ones.values() if p.keeper and p.keeper.role is Role.LEADS]
-        terms = [k.term for k in leaders]
+        leaders = [p.raft for p in self.ones.values() if p.raft and p.raft.role is RaftRole.LEADER]
+        terms = [k.current_term for k in leaders]
         if len(set(terms)) != len(terms):
             raise Violation(f"two leaders in one term: {terms}")
-        ready = [k for k in leaders if k.ready()]
+        ready = [k for k in leaders if k.is_ready()]
         if ready:
-            ledger = max(ready, key=lambda k: k.term).ledger
+            ledger = max(ready, key=lambda k: k.current_term).state
             for id, version in self.adopted.items():
-                end = ledger.ended(id)
+                end = ledger.outcome(id)
                 if end is None or end.version != version:
                     raise Violation(f"{id} was said to be version {version}, and is {end}")
             for v in ledger.versions[1:]:
--- a/petrelway/emulator/policy_simulation.py
+++ b/petrelway/emulator/policy_simulation.py
@@ -9,13 +9,14 @@
 
 from ..fakes.fault_schedule import FaultSchedule
 from ..fakes.in_memory_network import Process, World
-from ..policy import state_machine as ledger
-from ..policy.change_coordinator import Try
+from ..policy import state_machine
+from ..policy.change_coordinator import ProbePort, SendMessage
 from ..policy.document import digest, stops
-from ..policy.messages import Kept, Progress, Propose, read, write
-from ..policy.policy_holder import Terms
-from ..policy.policy_member import Keep, Party, Tell
-from ..policy.raft_storage import after
+from ..policy.log_entries import PersistentState
+from ..policy.messages import ChangeProgress, ChangeRequest, decode_message, encode_message
+from ..policy.policy_holder import PreparedPolicy
+from ..policy.policy_member import PersistState, PolicyMember
+from ..policy.raft_storage import updated_state
 from ..wire.framing import HEADER
 
 DIAL_MS = 0.5
@@ -41,10 +42,10 @@
             random_source.uniform(0.0, CLOCKS_MS),
             1.0 + random_source.uniform(-RATE, RATE),
         )
-        kept = council.disks.setdefault(number, Kept()) if number < council.keepers else None
+        kept = council.disks.setdefault(number, PersistentState()) if number < council.keepers else None
         names = tuple(f"front-{i}" for i in range(council.keepers))
-        own = Terms(0, digest(OWN), OWN)
-        self.party = Party(self.now(), self.name, token, council.names, names, own, make, kept)
+        own = PreparedPolicy(0, digest(OWN), OWN)
+        self.party = PolicyMember(self.now(), self.name, token, council.names, names, own, make, kept)
         self.wake = None
         self.pull()
         self._request()
@@ -53,33 +54,35 @@
         return self.council.sim.now_s * 1e3 * self.rate + self.ahead_ms
 
     def heard(self, sender: str, data: bytes) -> None:
-        said = read(data[HEADER.size :])
-        self.party.heard(self.now(), sender, said.token, said.body)
+        said = decode_message(data[HEADER.size :])
+        self.party.receive(self.now(), sender, said.token, said.body)
         self.pull()
 
     def pull(self) -> None:
         council = self.council
-        while (d := self.party.decide(self.now())) is not None:
-            if isinstance(d, Keep):
+        while (d := self.party.next_action(self.now())) is not None:
+            if isinstance(d, PersistState):
                 if self.number in council.full:
-                    self.party.disk_failed(self.now())
+                    self.party.disk_failed()
                     continue
                 if (died := council.dies(self.number)) == "before":
                     return
-                council.disks[self.number] = after(council.disks[self.number], d.kept, d.since)
+                council.disks[self.number] = updated_state(
+                    council.disks[self.number], d.persistent_state, d.after_index
+                )
                 council.counts["kept"] += 1
                 if died:
                     return
-            elif isinstance(d, Tell):
-                data = write("emulated", self.name, self.party.token, d.word)
+            elif isinstance(d, SendMessage):
+                data = encode_message("emulated", self.name, self.party.token, d.message)
                 council.tell(self, d.to, data)
-            elif isinstance(d, Try):
+            elif isinstance(d, ProbePort):
                 council.dial(self, d.to)
-        while self.party.said:
-            council.note("said", fe=self.name, what=self.party.said[0][0], **self.party.said.popleft()[1])
+        while self.party.events:
+            council.note("said", fe=self.name, what=self.party.events[0][0], **self.party.events.popleft()[1])
         if self.wake is not None and self.wake.active():
             self.wake.cancel()
-        wait_ms = self.party.due_ms(self.now()) - self.now()
+        wait_ms = self.party.wake_ms(self.now()) - self.now()
         if wait_ms < 1e9:
             self.wake = self.process.callLater(max(1.0, wait_ms) / 1e3, self.pull)
 
@@ -91,7 +94,7 @@
         )
 
     def take(self) -> None:
-        terms, _ = self.party.terms(self.now())
+        terms, _ = self.party.admitting_policy(self.now())
         self.council.counts["taken" if terms else "turned away"] += 1
         if terms is not None:
             self.council.note("took", fe=self.name, version=terms.version, digest=terms.digest)
@@ -114,7 +117,7 @@
         self.way_ms, self.every_s = way_ms, every_s
         self.names = [f"front-{i}" for i in range(size)]
         self.ones: dict[int, One] = {}
-        self.disks: dict[int, Kept] = {}
+        self.disks: dict[int, PersistentState] = {}
         self.full: set[int] = set()  # disks that take nothing more
         self.lines: list[dict[str, Any]] = []
         self.counts: Counter[str] = Counter()
@@ -180,23 +183,25 @@
             self.sim.later(back_ms / 1e3, one.process.run, refused)
 
         def refused() -> None:
-            one.party.tried(one.now(), to, own_ms, True)
+            one.party.port_probed(to, own_ms, True)
             one.pull()
 
         self.sim.later(there_ms / 1e3, there)
 
     # -- operators
 
-    def wish(self, number: int, id: str, base: int, document: str, **more: Any) -> Progress | None:
+    def wish(self, number: int, id: str, base: int, document: str, **more: Any) -> ChangeProgress | None:
         """An operator's change by way of this member; None where it is dead."""
         one = self.ones.get(number)
         if one is None:
             return None
-        found: list[Progress] = []
-        propose = Propose(id=id, base=base, document=document, base_document=OWN, by="op", at=0.0, **more)
+        found: list[ChangeProgress] = []
+        propose = ChangeRequest(
+            id=id, base=base, document=document, base_document=OWN, by="op", at=0.0, **more
+        )
 
         def ask() -> None:
-            found.append(one.party.wished(one.now(), propose))
+            found.append(one.party.request_change(one.now(), propose))
             one.pull()
 
         one.process.run(ask)
@@ -204,7 +209,7 @@
 
     def change(
         self, id: str, base: int, document: str, most_s: float = 60.0, by: int | None = None, **more: Any
-    ) -> Progress | None:
+    ) -> ChangeProgress | None:
         """Ask until it has ended, by way of whoever lives; what the operator was told is noted."""
         end, progress = self.sim.now_s + most_s, None
         while self.sim.now_s < end:
@@ -218,20 +223,20 @@
         return progress
 
     def leader(self) -> int | None:
-        some = [n for n, one in self.ones.items() if one.party.lead and one.party.keeper.ready()]
-        return max(some, key=lambda n: self.ones[n].party.keeper.term, default=None)
+        some = [n for n, one in self.ones.items() if one.party.coordinator and one.party.raft.is_ready()]
+        return max(some, key=lambda n: self.ones[n].party.raft.current_term, default=None)
 
     def history(self) -> None:
         """The end: what the leader's history says."""
         leader = self.leader()
         if leader is not None:
-            versions = self.ones[leader].party.keeper.ledger.versions
+            versions = self.ones[leader].party.raft.state.versions
             self.note("history", rows=[[v.number, v.base, v.digest, v.proposal] for v in versions])
 
 
-def on_disk(kept: Kept) -> ledger.Ledger:
+def on_disk(kept: PersistentState) -> state_machine.PolicyState:
     """What a disk alone tells: all entries, committed or not."""
-    state = ledger.read(kept.snapshot)
+    state = state_machine.decode_state(kept.snapshot)
     for offset, entry in enumerate(kept.entries, 1):
-        state = ledger.apply(state, kept.index + offset, entry)
+        state = state_machine.apply(state, kept.index + offset, entry)
     return state
--- a/petrelway/emulator/policy_traffic.py
+++ b/petrelway/emulator/policy_traffic.py
@@ -18,7 +18,7 @@
 from ..fakes.fault_schedule import FaultSchedule, NetworkFault
 from ..fakes.in_memory_network import World
 from ..policy.document import canonical
-from ..policy.messages import Progress
+from ..policy.messages import ChangeProgress
 from ..settings.front import FunctionEntry, RequestClassTerms
 from .policy_simulation import Council, One
 
@@ -177,7 +177,7 @@
         return [number for number in self.ones if number > self.entry()]
 
     def version(self) -> int:
-        return self.ones[self.leader()].party.keeper.ledger.version
+        return self.ones[self.leader()].party.raft.state.version
 
     def rest(self, seconds: float) -> SpanCost:
         """A span in which nobody asks for anything."""
@@ -224,12 +224,12 @@
             f"{count} changes at {self.size} members did not end in {CHANGE_LIMIT_S:g} s"
         )
 
-    def _active_everywhere(self, found: list[Progress]) -> bool:
+    def _active_everywhere(self, found: list[ChangeProgress]) -> bool:
         """Whether each live member runs under the latest adopted version."""
         adopted = [progress.version for progress in found if progress.state == "adopted"]
         if not adopted:
             return True
-        return all(one.party.adopter.terms.version >= max(adopted) for one in self.ones.values())
+        return all(one.party.holder.policy.version >= max(adopted) for one in self.ones.values())
 
     def activation_s(self, version: int, since_s: float) -> float:
         """From then until the last live member ran under this version."""
--- a/petrelway/emulator/random_policy_faults.py
+++ b/petrelway/emulator/random_policy_faults.py
@@ -96,7 +96,7 @@
 
     def _holds(self) -> int:
         leader = self.council.leader()
-        return self.council.ones[leader].party.keeper.ledger.version if leader is not None else 0
+        return self.council.ones[leader].party.raft.state.version if leader is not None else 0
 
     def _step(self, troubled: bool) -> None:
         council, random_source, now = self.council, self.random_source, self.council.sim.now_s
--- a/petrelway/gateway/service.py
+++ b/petrelway/gateway/service.py
@@ -116,7 +116,7 @@
             self._join(found["peers"], place.name)
         self.intake = Intake(self.made.asks, self._take, lambda: self.host.owed, self.log)
         if self.policy is not None:
-            self.intake.terms = self.policy.look
+            self.intake.terms = self.policy.admission_delay_ms
         listen = found["listen"]
         self.port = listen_tcp(self.reactor, listen.port, self.intake, BACKLOG, listen.address, self.log)
         registry = found["roster"]
@@ -166,16 +166,16 @@
     def _vote(self, wanted) -> None:
         """Terms that are changed by all members or by none."""
         from ..policy.document import canonical, digest
-        from ..policy.policy_holder import Terms
+        from ..policy.policy_holder import PreparedPolicy
         from ..policy.service import PolicyService
 
         document = canonical(self.found)
         self.policy = PolicyService(
             self.reactor, self.fleet, wanted.keepers, wanted.file,
-            Terms(0, digest(document), (self.made, document)), document, self._made, self._adopted, self.log,
-            self.note,
+            PreparedPolicy(0, digest(document), (self.made, document)), document, self._made, self._adopted,
+            self.log, self.note,
         )  # fmt: skip
-        self.fleet.door, self.fleet.versions = self.policy.door, self.policy.others_run
+        self.fleet.door, self.fleet.versions = self.policy.listener_factory, self.policy.version_seen
 
     def _made(self, document: str) -> tuple[Any, bool]:
         """All that taking requests under this document needs. Raises ValueError."""
@@ -202,7 +202,7 @@
 
     def _take(self, ask: Ask, content_type: str, body: bytes) -> defer.Deferred[Answer]:
         if self.policy is not None and self.note is not None:
-            under = self.policy.terms
+            under = self.policy.policy
             self.note("took", fe=self.found["front_end"].name, version=under.version, digest=under.digest,
                       m=ask.mark)  # fmt: skip
         return self.host.take(
@@ -226,7 +226,7 @@
         self.intake.leaving = True  # connections that are kept open get rejects
         yield defer.maybeDeferred(self.port.stopListening)
         if self.policy is not None:
-            self.policy.leaving()
+            self.policy.leave()
         wait = self.host.nothing_owed()
         longest = self.made.longest_ms + LEAVE_SLACK_MS
         timer = self.reactor.callLater(longest / 1e3, wait.cancel)
--- a/petrelway/policy/change_coordinator.py
+++ b/petrelway/policy/change_coordinator.py
@@ -1,6 +1,7 @@
-"""What a leader does for a change of terms, pure: prepare, decide on one moment, tell; who stood in the way.
+"""What a leader does for a change of policy, without I/O: prepare all members, decide on one activation time,
+notify; and who stood in the way.
 
-Made anew when a keeper is elected: what it knows of members it has heard itself, since then. Times are ms of
+Made anew when a leader is elected: what it knows of members it has heard itself, since then. Times are ms of
 the leader's clock, unless a name says otherwise. Why each rule is needed: docs/policy.md.
 """
 
@@ -8,365 +9,458 @@
 
 import math
 from collections import deque
+from functools import singledispatchmethod
 from typing import Any, NamedTuple
 
 from .document import digest, stops
+from .log_entries import ActivationTime, ChangeAbandoned, ChangeDecided, ChangeProposed, VotersChanged
+from .member_record import MAX_CLOCK_DRIFT, MemberRecord, PendingQuery
 from .messages import (
-    Abandoned,
-    Ask,
-    Decided,
-    Keepers,
-    Look,
-    Moment,
-    Prepare,
-    Progress,
-    Propose,
-    Proposed,
-    Ready,
-    Seen,
-    Told,
-    Under,
+    NOT_QUERIED_MS,
+    ChangeProgress,
+    ChangeRequest,
+    ClockQuery,
+    ClockReading,
+    PolicyAcknowledgement,
+    PolicyNotification,
+    PolicyQuery,
+    PrepareChange,
+    PrepareResponse,
 )
-from .policy_holder import LEASE_MS, moment_of
-from .raft import Keeper
-
-HOLD_MS = 3000.0  # a promise holds so long; it is renewed three times in it
-AGAIN_MS = 300.0  # a word without an answer is said again after this
-TICK_MS = 100.0  # while a change is under way
-SLACK_MS = 200.0  # the moment of a change lies so far past the last promise
-PATIENCE_MS = 15_000.0  # a change that somebody has not answered by then is given up
-TELL_MS = 20_000.0  # what holds is told for so long to those that do not say that they have heard it
-DRIFT = 0.001  # two clocks' spans differ by less than this share of them, over some seconds
-APART_MS = 50.0  # two members may differ by this in when they change over
-LEASE_OVER_MS = LEASE_MS * (1.0 + 2.0 * 0.01) + 500.0  # no lease that was asked for before this is left
-
-
-class Other:
-    """What the leader knows of one listed member, itself included."""
-
-    def __init__(self) -> None:
-        self.token = 0  # of its process; 0: not heard yet
-        self.sample: tuple[float, float, float] | None = None  # when asked, when heard, its clock in between
-        self.index, self.yes, self.why = 0, False, ""  # its last answer, to this proposal
-        self.joined_ms = -math.inf  # when it was last told that it may serve
-        self.gone_ms = -math.inf  # its port refused a try that began then
-        self.left = False  # it said so, and so its port will refuse
-        self.told_ms = self.tried_ms = -math.inf
-        self.at = self.version = -1  # the state it has heard, the version it runs under
-        # token, its time, the version it has, the round that must be through
-        self.asks: tuple[int, float, int, int] | None = None
-
-    def ahead(self, now: float) -> tuple[float, float]:
-        """Its clock before this one's, at least and at most."""
-        sent, got, reading = self.sample
-        drift = DRIFT * (now - sent)
-        return reading - got - drift, reading - sent + drift
-
-
-class Tell(NamedTuple):
+from .policy_holder import LEASE_MS, MAX_REASON_LENGTH, activation_time_of
+from .raft import RaftNode
+
+PROMISE_MS = 3000.0  # a promise holds so long; it is renewed three times in it
+RETRY_INTERVAL_MS = 300.0  # a message without an answer is sent again after this
+PROBE_INTERVALS = 3.0  # a silent member's port is probed after so many of them
+TICK_INTERVAL_MS = 100.0  # while a change is under way
+ACTIVATION_MARGIN_MS = 200.0  # a change is activated so far past the last promise
+CHANGE_TIMEOUT_MS = 15_000.0  # a change that somebody has not answered by then is abandoned
+NOTIFICATION_PERIOD_MS = 20_000.0  # what holds is sent for so long to those that do not acknowledge it
+MAX_ACTIVATION_SPREAD_MS = 50.0  # two members may differ by this in when they change over
+LEASE_EXPIRED_AFTER_MS = LEASE_MS * (1.0 + 2.0 * 0.01) + 500.0  # no lease asked for before this is left
+MAX_NAMES_LISTED = 20  # in a reason
+MAX_REFUSALS_LISTED = 10
+
+
+class SendMessage(NamedTuple):
+    """Send a message to a member."""
+
     to: str
-    word: Any
+    message: Any
 
 
-class Try(NamedTuple):
-    """Dial the member's port and say whether it was refused."""
+class ProbePort(NamedTuple):
+    """Dial the member's port and report whether it was refused."""
 
     to: str
 
 
-class Lead:
+class ChangeCoordinator:
     """One term of one leader."""
 
-    def __init__(self, now: float, keeper: Keeper, members: list[str], own_digest: str) -> None:
-        self.keeper, self.own_digest = keeper, own_digest
-        self.others = {name: Other() for name in members}
-        self.began_ms = self.news_ms = now
-        self.at = self.settled = -1  # the state that is told
-        self.passed_ms = now + HOLD_MS + 2 * SLACK_MS  # whatever was decided before is in force from here on
-        self.driving, self.driving_ms = 0, now  # the proposal that is prepared, since when
-        self.closing = 0  # the entry that ends it, as long as that is not committed
-        self.offered: dict[str, int] = {}  # proposals that are not committed yet
-        self.stop_why = ""  # an operator wants it abandoned
-        self.due_ms, self.turned_at = now, -1  # when to look again; the ledger's state at the last look
-        self.out: deque[Tell | Try] = deque()
-
-    # -- what is heard
-
-    def heard(self, now: float, sender: str, token: int, word: Any) -> None:
-        o = self.others.get(sender)
-        if o is None:
-            return
-        if isinstance(word, Ask):
-            if word.leaving:  # danger: it may come late, from a process before the present one: ask back
-                self.out.append(Tell(sender, Look(term=self.keeper.term, sent_ms=now)))
-                return
-            o.asks = token, word.asked_ms, word.version, self.keeper.confirm(now)
-        elif word.term != self.keeper.term:
+    def __init__(self, now: float, raft: RaftNode, members: list[str], initial_digest: str) -> None:
+        self.raft = raft
+        self.initial_digest = initial_digest
+        self.members = {name: MemberRecord() for name in members}
+        self.started_ms = now
+        self.news_ms = now
+        # The state that is notified.
+        self.state_index = -1
+        self.resolved_index = -1
+        # Whatever was decided before is in force from here on.
+        self.in_force_from_ms = now + PROMISE_MS + 2 * ACTIVATION_MARGIN_MS
+        self.prepared_index = 0  # the proposal that is prepared, and since when
+        self.prepared_since_ms = now
+        self.closing_index = 0  # the entry that ends it, as long as that is not committed
+        self.uncommitted_proposals: dict[str, int] = {}
+        self.abandon_reason = ""  # an operator wants it abandoned
+        self.timer_ms = now
+        self.handled_state_index = -1  # the policy state at the last turn
+        self.actions: deque[SendMessage | ProbePort] = deque()
+
+    # -- messages of members
+
+    def receive(self, now: float, sender: str, token: int, message: Any) -> None:
+        """Take in a message of a member's process."""
+        member = self.members.get(sender)
+        if member is None:
             return
-        elif isinstance(word, Under):
-            if token == o.token:
-                o.at, o.version = word.at, word.version
-        elif word.sent_ms < o.joined_ms:
-            return  # danger: an answer of an earlier process of the name, that comes late
-        elif isinstance(word, Seen):
-            if word.leaving:
-                o.gone_ms, o.left = max(o.gone_ms, word.sent_ms), True
-                return
-            self._heard_of(o, token)
-            self._sample(o, now, word.sent_ms, word.reading_ms)
-        elif isinstance(word, Ready) and token == o.token:
-            self._sample(o, now, word.sent_ms, word.reading_ms)
-            o.index, o.yes, o.why = word.index, word.yes, word.why
-        self.due_ms = now
-
-    def _heard_of(self, o: Other, token: int) -> None:
-        """Another process of this name: nothing that the earlier one said holds for it."""
-        if token != o.token:
-            o.token, o.sample, o.index, o.yes, o.left, o.at, o.version = token, None, 0, False, False, -1, -1
-
-    def _sample(self, o: Other, now: float, sent: float, reading: float) -> None:
-        if o.sample is None or now - sent <= o.sample[1] - o.sample[0] + 2.0 * DRIFT * (now - o.sample[0]):
-            o.sample = sent, now, reading
-
-    def tried(self, now: float, name: str, began_ms: float, refused: bool) -> None:
-        """RefusedError: its process is gone, and whoever starts there asks before it serves. Danger: a try that
-        began before this leader led, or before the member was told that it may serve, proves nothing."""
-        o = self.others.get(name)
-        if o is not None and refused:
-            o.gone_ms = max(o.gone_ms, began_ms)
-
-    # -- decisions
+        if isinstance(message, PolicyQuery):
+            handled = self._handle_query(now, sender, member, token, message)
+        else:
+            handled = message.term == self.raft.current_term and self._handle(message, now, member, token)
+        if handled:
+            self.timer_ms = now
+
+    def _handle_query(
+        self, now: float, sender: str, member: MemberRecord, token: int, message: PolicyQuery
+    ) -> bool:
+        if message.leaving:  # it may come late, from a process before the present one: ask back
+            self.actions.append(SendMessage(sender, self._clock_query(now)))
+            return False
+        confirmation = self.raft.begin_confirmation()
+        member.query = PendingQuery(token, message.queried_ms, message.version, confirmation)
+        return True
+
+    @singledispatchmethod
+    def _handle(self, message: Any, now: float, member: MemberRecord, token: int) -> bool:
+        """Whether the message asks for a turn."""
+        raise TypeError(f"no message of a member to its leader: {type(message).__name__}")
+
+    @_handle.register
+    def _(self, message: PolicyAcknowledgement, now: float, member: MemberRecord, token: int) -> bool:
+        if token == member.token:
+            member.state_index = message.state_index
+            member.version = message.version
+        return True
+
+    @_handle.register
+    def _(self, message: ClockReading, now: float, member: MemberRecord, token: int) -> bool:
+        if message.sent_ms < member.admitted_ms:
+            return False  # a late answer of an earlier process of the name
+        if message.leaving:
+            member.gone_ms = max(member.gone_ms, message.sent_ms)
+            member.left = True
+            return False
+        member.identify(token)
+        member.add_sample(now, message.sent_ms, message.reading_ms)
+        return True
+
+    @_handle.register
+    def _(self, message: PrepareResponse, now: float, member: MemberRecord, token: int) -> bool:
+        if message.sent_ms < member.admitted_ms:
+            return False  # a late answer of an earlier process of the name
+        if token == member.token:
+            member.add_sample(now, message.sent_ms, message.reading_ms)
+            member.answered_index = message.index
+            member.accepted = message.accepted
+            member.refusal = message.why
+        return True
+
+    def port_probed(self, name: str, began_ms: float, refused: bool) -> None:
+        """A refused connection proves that the process is gone, and whoever starts there asks before it
+        serves. An attempt that began before this leader led, or before the member was told that it may serve, proves
+        nothing: `_reason_to_proceed` compares the times."""
+        member = self.members.get(name)
+        if member is not None and refused:
+            member.gone_ms = max(member.gone_ms, began_ms)
+
+    # -- the turn
 
     def turn(self, now: float) -> None:
-        """Whatever is due now goes to `out`."""
-        if not self.keeper.ready():
-            self.due_ms = now + TICK_MS
+        """Put whatever is due now into `actions`."""
+        if not self.raft.is_ready():
+            self.timer_ms = now + TICK_INTERVAL_MS
             return
-        ledger = self.keeper.ledger
-        self.turned_at = ledger.at
-        if ledger.last_settled != self.settled or ledger.version and self.at < 0:
-            self.settled, self.at, self.news_ms = ledger.last_settled, ledger.at, now
-        self.closing = self.closing if self.closing > self.keeper.commit else 0
-        self.offered = {id: i for id, i in self.offered.items() if i > self.keeper.commit}
-        self._answer(now)
-        if ledger.pending is not None:
-            self._drive(now)
-            self.due_ms = now + TICK_MS
-        elif now < self.news_ms + TELL_MS:
-            self._tell_all(now)
-            self.due_ms = now + TICK_MS
-        else:
-            self.due_ms = math.inf
-        if any(o.asks for o in self.others.values()):
-            self.due_ms = min(self.due_ms, now + TICK_MS)
-
-    def _answer(self, now: float) -> None:
-        """Those that asked what holds. Danger: a leader that is none any more would give an old answer, so a
-        majority must have heard it since; and one told to serve while a change is decided without it would
-        serve under the old terms."""
-        for name, o in self.others.items():
-            if o.asks is None or not self.keeper.confirmed(o.asks[3]) or self.closing:
+        state = self.raft.state
+        self.handled_state_index = state.applied_index
+        if state.last_resolved_index != self.resolved_index or (state.version and self.state_index < 0):
+            self.resolved_index = state.last_resolved_index
+            self.state_index = state.applied_index
+            self.news_ms = now
+        if self.closing_index <= self.raft.commit_index:
+            self.closing_index = 0
+        self.uncommitted_proposals = {
+            id: index for id, index in self.uncommitted_proposals.items() if index > self.raft.commit_index
+        }
+        self._answer_queries(now)
+        self.timer_ms = self._pursue(now)
+        if any(member.query for member in self.members.values()):
+            self.timer_ms = min(self.timer_ms, now + TICK_INTERVAL_MS)
+
+    def _pursue(self, now: float) -> float:
+        """Go on with the change under way, or with notifying its end; when to come back."""
+        if self.raft.state.pending is not None:
+            self._advance_change(now)
+            return now + TICK_INTERVAL_MS
+        if now < self.news_ms + NOTIFICATION_PERIOD_MS:
+            self._notify_members(now)
+            return now + TICK_INTERVAL_MS
+        return math.inf
+
+    # -- what holds
+
+    def _answer_queries(self, now: float) -> None:
+        """Answer those that asked what holds. A leader that is none any more would give an old answer, so a
+        majority must have heard it since; and a member told to serve while a change is decided without it
+        would serve under the old policy."""
+        for name, member in self.members.items():
+            query = member.query
+            if query is None or not self.raft.is_confirmed(query.round) or self.closing_index:
                 continue
-            token, asked_ms, has, _ = o.asks
-            if self._moment(name, token) is None and now < self._in_force_ms():
+            if self._activation(name, query.token) is None and now < self._in_force_ms():
                 continue
-            o.asks = None
-            self._heard_of(o, token)
-            o.joined_ms = now
-            self.out.append(Tell(name, self._told(name, o, asked_ms, has == self.keeper.ledger.version)))
+            member.query = None
+            member.identify(query.token)
+            member.admitted_ms = now
+            has_document = query.version == self.raft.state.version
+            notification = self._notification(name, member, query.queried_ms, has_document)
+            self.actions.append(SendMessage(name, notification))
 
     def _in_force_ms(self) -> float:
         """From when on the present version is in force everywhere; -inf where nothing was ever decided."""
-        return self.passed_ms if self.keeper.ledger.moments else -math.inf
-
-    def _moment(self, name: str, token: int) -> Moment | None:
-        some = self.keeper.ledger.moments
-        return next((m for m in some if m.name == name and m.token == token), None)
-
-    def _told(self, name: str, o: Other, asked_ms: float, has: bool) -> Told:
-        """`has`: the member has the document. Danger: told again and again to hundreds, a large one would
-        take all that the leader can say."""
-        ledger = self.keeper.ledger
-        present = ledger.present()
-        return Told(
-            term=self.keeper.term, token=o.token, at=ledger.at, settled=ledger.last_settled,
-            version=ledger.version, digest=present.digest if present and present.number else self.own_digest,
-            document=present.document if present and present.number and not has else "",
-            keepers=self.keeper.keepers(), asked_ms=asked_ms, moment=self._moment(name, o.token),
-        )  # fmt: skip
-
-    def _tell_all(self, now: float) -> None:
-        """What holds, to all that have not said that they have heard it."""
-        for name, o in self.others.items():
-            if o.at >= self.at or now < o.told_ms + AGAIN_MS:
+        return self.in_force_from_ms if self.raft.state.activations else -math.inf
+
+    def _activation(self, name: str, token: int) -> ActivationTime | None:
+        for activation in self.raft.state.activations:
+            if activation.name == name and activation.token == token:
+                return activation
+        return None
+
+    def _notification(
+        self, name: str, member: MemberRecord, queried_ms: float, has_document: bool
+    ) -> PolicyNotification:
+        """What holds. A document that the member has is left out: sent again and again to hundreds, a large
+        one would take all that the leader can send."""
+        state = self.raft.state
+        present = state.present()
+        changed = present is not None and present.number > 0
+        return PolicyNotification(
+            term=self.raft.current_term,
+            token=member.token,
+            state_index=state.applied_index,
+            resolved_index=state.last_resolved_index,
+            version=state.version,
+            digest=present.digest if changed else self.initial_digest,
+            document=present.document if changed and not has_document else "",
+            voters=self.raft.voters(),
+            queried_ms=queried_ms,
+            activation=self._activation(name, member.token),
+        )
+
+    def _notify_members(self, now: float) -> None:
+        """Send what holds to all that have not acknowledged it."""
+        for name, member in self.members.items():
+            if member.state_index >= self.state_index or now < member.notified_ms + RETRY_INTERVAL_MS:
                 continue
-            if o.token and (self._moment(name, o.token) is not None or now >= self._in_force_ms()):
-                o.told_ms = now
-                self.out.append(Tell(name, self._told(name, o, -1.0, o.yes and o.index == self.settled)))
-            elif not o.token:
-                self._look(name, o, now)
+            if not member.token:
+                self._query_clock(name, member, now)
+            elif self._activation(name, member.token) is not None or now >= self._in_force_ms():
+                member.notified_ms = now
+                has_document = member.has_accepted(self.resolved_index)
+                notification = self._notification(name, member, NOT_QUERIED_MS, has_document)
+                self.actions.append(SendMessage(name, notification))
+
+    def _query_clock(self, name: str, member: MemberRecord, now: float) -> None:
+        member.notified_ms = now
+        self.actions.append(SendMessage(name, self._clock_query(now)))
 
-    def _look(self, name: str, o: Other, now: float) -> None:
-        o.told_ms = now
-        self.out.append(Tell(name, Look(term=self.keeper.term, sent_ms=now)))
+    def _clock_query(self, now: float) -> ClockQuery:
+        return ClockQuery(term=self.raft.current_term, sent_ms=now)
 
     # -- a change
 
-    def _drive(self, now: float) -> None:
-        pending = self.keeper.ledger.pending
-        if self.closing:
+    def _advance_change(self, now: float) -> None:
+        pending = self.raft.state.pending
+        if self.closing_index:
             return
-        if self.driving != pending.index:
-            self.driving, self.driving_ms, self.stop_why = pending.index, now, ""
-            for o in self.others.values():
-                o.index, o.yes, o.told_ms, o.tried_ms = 0, False, -math.inf, -math.inf
-        for name, o in self.others.items():
-            self._prepare(now, name, o)
-        no = [
-            f"{name}: {o.why}" for name, o in self.others.items()
-            if o.index == pending.index and not o.yes and name not in pending.proposed.without
-        ]  # fmt: skip
-        silent = [name for name, o in self.others.items() if not self._through(now, name, o)]
-        if self.stop_why:
-            self._abandon(now, self.stop_why)
-        elif no:
-            self._abandon(now, "; ".join(no[:10]))
+        if self.prepared_index != pending.index:
+            self._start_preparing(now, pending.index)
+        for name, member in self.members.items():
+            self._prepare(now, name, member)
+        refusals = [
+            f"{name}: {member.refusal}"
+            for name, member in self.members.items()
+            if member.has_refused(pending.index) and name not in pending.proposed.without
+        ]
+        silent = [
+            name for name, member in self.members.items() if not self._reason_to_proceed(now, name, member)
+        ]
+        if self.abandon_reason:
+            self._abandon(now, self.abandon_reason)
+        elif refusals:
+            self._abandon(now, "; ".join(refusals[:MAX_REFUSALS_LISTED]))
         elif not silent:
             self._decide(now)
-        elif now >= self.driving_ms + PATIENCE_MS:
-            more = f" and {len(silent) - 20} more" if len(silent) > 20 else ""
-            self._abandon(now, f"silent: {', '.join(silent[:20])}{more}")
-
-    def _prepare(self, now: float, name: str, o: Other) -> None:
-        yes = o.yes and o.index == self.driving
-        if now < o.told_ms + (HOLD_MS / 3.0 if yes else AGAIN_MS):
+        elif now >= self.prepared_since_ms + CHANGE_TIMEOUT_MS:
+            self._abandon(now, _silent_reason(silent))
+
+    def _start_preparing(self, now: float, index: int) -> None:
+        self.prepared_index = index
+        self.prepared_since_ms = now
+        self.abandon_reason = ""
+        for member in self.members.values():
+            member.start_proposal()
+
+    def _prepare(self, now: float, name: str, member: MemberRecord) -> None:
+        """Ask a member to promise, or to renew its promise; probe its port where it is silent."""
+        accepted = member.has_accepted(self.prepared_index)
+        if now < member.notified_ms + (PROMISE_MS / 3.0 if accepted else RETRY_INTERVAL_MS):
             return
-        if o.sample is None:
-            self._look(name, o, now)
+        if member.sample is None:
+            self._query_clock(name, member, now)
         else:
-            o.told_ms = now
-            self.out.append(Tell(name, self._asked(now, o)))
-        if not yes and now >= o.tried_ms + 3.0 * AGAIN_MS and now > self.driving_ms + AGAIN_MS:
-            o.tried_ms = now
-            self.out.append(Try(name))
-
-    def _asked(self, now: float, o: Other) -> Prepare:
-        ledger = self.keeper.ledger
-        p = ledger.pending.proposed
-        base = ledger.present()
-        return Prepare(
-            term=self.keeper.term, index=ledger.pending.index, version=ledger.version + 1, base=p.base,
-            base_digest=base.digest if base else digest(p.base_document), token=o.token,
-            document="" if o.yes and o.index == ledger.pending.index else p.document,
-            by_ms=now + HOLD_MS * (1.0 - DRIFT) + o.ahead(now)[0], sent_ms=now,
-        )  # fmt: skip
-
-    def _through(self, now: float, name: str, o: Other) -> str:
+            member.notified_ms = now
+            self.actions.append(SendMessage(name, self._prepare_message(now, member)))
+        probe_due = now >= member.probed_ms + PROBE_INTERVALS * RETRY_INTERVAL_MS
+        if not accepted and probe_due and now > self.prepared_since_ms + RETRY_INTERVAL_MS:
+            member.probed_ms = now
+            self.actions.append(ProbePort(name))
+
+    def _prepare_message(self, now: float, member: MemberRecord) -> PrepareChange:
+        state = self.raft.state
+        pending = state.pending
+        proposed = pending.proposed
+        base = state.present()
+        least_ahead_ms, _ = member.clock_ahead_ms(now)
+        return PrepareChange(
+            term=self.raft.current_term,
+            index=pending.index,
+            version=state.version + 1,
+            base=proposed.base,
+            base_digest=base.digest if base else digest(proposed.base_document),
+            document="" if member.has_accepted(pending.index) else proposed.document,
+            token=member.token,
+            promise_until_ms=now + PROMISE_MS * (1.0 - MAX_CLOCK_DRIFT) + least_ahead_ms,
+            sent_ms=now,
+        )
+
+    def _reason_to_proceed(self, now: float, name: str, member: MemberRecord) -> str:
         """Why the change may go on as far as this member goes, or nothing. What is said of it stays true
         until it is told anew that it may serve."""
-        p = self.keeper.ledger.pending.proposed
-        if o.yes and o.index == self.driving and o.sample is not None:
+        if member.has_accepted(self.prepared_index) and member.sample is not None:
             return "yes"
-        if o.gone_ms >= max(self.began_ms, o.joined_ms):
-            return "left" if o.left else "gone: its port refuses"
-        if name in p.without:
+        known_since_ms = max(self.started_ms, member.admitted_ms)
+        if member.gone_ms >= known_since_ms:
+            return "left" if member.left else "gone: its port refuses"
+        if name in self.raft.state.pending.proposed.without:
             return "the operator vouches for it"
-        over_ms = max(self.began_ms, o.joined_ms) + LEASE_OVER_MS
-        if self._stops() and now >= over_ms and self.keeper.aged(now, LEASE_OVER_MS):
+        expired = now >= known_since_ms + LEASE_EXPIRED_AFTER_MS
+        if (
+            self._holds_on_lease()
+            and expired
+            and self.raft.majority_is_older_than(now, LEASE_EXPIRED_AFTER_MS)
+        ):
             return "silent: what it held on a lease has run out"
         return ""
 
-    def _stops(self) -> bool:
-        """Whether the present terms hold on a lease."""
-        present = self.keeper.ledger.present()
+    def _holds_on_lease(self) -> bool:
+        """Whether the present policy holds on a lease."""
+        present = self.raft.state.present()
         return present is not None and stops(present.document)
 
     def _decide(self, now: float) -> None:
-        """Past every promise that was ever given: this leader gave none that holds for longer than from now,
-        and whoever said yes to it has not heard an earlier one since."""
-        at_ms = now + HOLD_MS + SLACK_MS
-        moments, without = [], []
-        for name, o in self.others.items():
-            why = self._through(now, name, o)
-            if why == "yes":
-                lo, hi = o.ahead(now)
-                drift = DRIFT * (at_ms - now)
-                moments.append(moment_of(name, o.token, at_ms, lo - drift, hi + drift, APART_MS))
+        """Decide on an activation time past every promise that was ever given: this leader asked for none
+        that holds for longer than from now, and whoever accepted has not heard an earlier one since."""
+        at_ms = now + PROMISE_MS + ACTIVATION_MARGIN_MS
+        activations = []
+        without = []
+        for name, member in self.members.items():
+            reason = self._reason_to_proceed(now, name, member)
+            if reason == "yes":
+                activations.append(_member_activation(now, name, member, at_ms))
             else:
-                without.append((name, why))
-        self.closing = self.keeper.offer(now, Decided(moments=tuple(moments), without=tuple(without)))
-        self.passed_ms = at_ms + SLACK_MS
+                without.append((name, reason))
+        decided = ChangeDecided(activations=tuple(activations), without=tuple(without))
+        self.closing_index = self.raft.append(now, decided)
+        self.in_force_from_ms = at_ms + ACTIVATION_MARGIN_MS
 
-    def _abandon(self, now: float, why: str) -> None:
-        self.closing = self.keeper.offer(now, Abandoned(why=why[:2000]))
+    def _abandon(self, now: float, reason: str) -> None:
+        self.closing_index = self.raft.append(now, ChangeAbandoned(why=reason[:MAX_REASON_LENGTH]))
 
     # -- operators
 
-    def proposed(self, now: float, p: Propose) -> Progress:
-        """An operator's wish; asked again and again until its end is known."""
-        ledger = self.keeper.ledger
-        pending = ledger.pending
-        if not self.keeper.ready():
-            return self._progress(now, p, "under way", "the new leader finds out what holds")
-        if p.abandon:
-            return self._stopped(now, p)
-        if p.keepers:
-            return self._keepers(now, p)
-        if (end := ledger.ended(p.id)) is not None:
-            if not end.version:
-                return self._progress(now, p, "abandoned", end.why)
-            if now < self._in_force_ms() and end.version == ledger.version:
-                return self._progress(now, p, "under way", "decided; it takes hold in a moment")
-            return self._progress(now, p, "adopted", "", end.version)
-        if p.id in self.offered or pending is not None and pending.proposed.id == p.id:
-            return self._progress(now, p, "under way", "")
-        if p.base < ledger.version:
-            why = f"stale: made from version {p.base}, while version {ledger.version} holds"
-            return self._progress(now, p, "refused", why)
-        # danger: a word that comes late, again, must not make what was refused: only what stays so is refused
-        if pending is not None or self.offered:
-            return self._progress(now, p, "under way", "waits for another change")
-        if now < self._in_force_ms() or p.base > ledger.version:
-            return self._progress(now, p, "under way", "waits for the last change to take hold")
-        unknown = [name for name in p.without if name not in self.others]
+    def request_change(self, now: float, request: ChangeRequest) -> ChangeProgress:
+        """An operator's change; asked again and again until its end is known."""
+        if not self.raft.is_ready():
+            return self._progress(now, request, "under way", "the new leader finds out what holds")
+        if request.abandon:
+            return self._abandon_requested(now, request)
+        if request.voters:
+            return self._change_voters(now, request)
+        state = self.raft.state
+        outcome = state.outcome(request.id)
+        if outcome is not None:
+            if not outcome.version:
+                return self._progress(now, request, "abandoned", outcome.why)
+            if now < self._in_force_ms() and outcome.version == state.version:
+                return self._progress(now, request, "under way", "decided; it takes hold in a moment")
+            return self._progress(now, request, "adopted", "", outcome.version)
+        pending = state.pending
+        proposed_already = pending is not None and pending.proposed.id == request.id
+        if request.id in self.uncommitted_proposals or proposed_already:
+            return self._progress(now, request, "under way", "")
+        return self._propose(now, request)
+
+    def _propose(self, now: float, request: ChangeRequest) -> ChangeProgress:
+        """Propose a new change, if one may begin now. A message that comes late, again, must not make what
+        was refused, so only what stays so is refused; all else waits."""
+        state = self.raft.state
+        if request.base < state.version:
+            why = f"stale: made from version {request.base}, while version {state.version} holds"
+            return self._progress(now, request, "refused", why)
+        if state.pending is not None or self.uncommitted_proposals:
+            return self._progress(now, request, "under way", "waits for another change")
+        if now < self._in_force_ms() or request.base > state.version:
+            return self._progress(now, request, "under way", "waits for the last change to take hold")
+        unknown = [name for name in request.without if name not in self.members]
+        if unknown:
+            why = f"no members: {', '.join(unknown[:MAX_NAMES_LISTED])}"
+            return self._progress(now, request, "refused", why)
+        proposed = ChangeProposed(
+            id=request.id,
+            base=request.base,
+            document=request.document,
+            base_document=request.base_document,
+            by=request.by,
+            at=request.at,
+            without=request.without,
+        )
+        self.uncommitted_proposals[request.id] = self.raft.append(now, proposed)
+        self.timer_ms = now
+        return self._progress(now, request, "under way", "")
+
+    def _abandon_requested(self, now: float, request: ChangeRequest) -> ChangeProgress:
+        if self.raft.state.pending is None or self.closing_index:
+            why = "no change is under way that could still be abandoned"
+            return self._progress(now, request, "refused", why)
+        self.abandon_reason = f"abandoned by {request.by or 'an operator'}"
+        self.timer_ms = now
+        return self._progress(now, request, "adopted", "it is being abandoned")
+
+    def _change_voters(self, now: float, request: ChangeRequest) -> ChangeProgress:
+        """One voter comes or goes at a time: two at once could make two majorities that share nobody."""
+        present = self.raft.voters()
+        if self.raft.is_changing_voters():
+            return self._progress(now, request, "under way", "a change of the keepers is under way")
+        if present == request.voters:
+            return self._progress(now, request, "adopted", "")
+        wanted = set(request.voters)
+        if len(set(present) ^ wanted) != 1 or len(wanted) != len(request.voters):
+            return self._progress(now, request, "refused", "one keeper comes or goes at a time")
+        unknown = [name for name in request.voters if name not in self.members]
         if unknown:
-            return self._progress(now, p, "refused", f"no members: {', '.join(unknown[:20])}")
-        self.offered[p.id] = self.keeper.offer(now, Proposed(
-            id=p.id, base=p.base, document=p.document, base_document=p.base_document, by=p.by, at=p.at,
-            without=p.without,
-        ))  # fmt: skip
-        self.due_ms = now
-        return self._progress(now, p, "under way", "")
-
-    def _stopped(self, now: float, p: Propose) -> Progress:
-        if self.keeper.ledger.pending is None or self.closing:
-            return self._progress(now, p, "refused", "no change is under way that could still be abandoned")
-        self.stop_why, self.due_ms = f"abandoned by {p.by or 'an operator'}", now
-        return self._progress(now, p, "adopted", "it is being abandoned")
-
-    def _keepers(self, now: float, p: Propose) -> Progress:
-        """Danger: two keepers changed at once could make two majorities that share nobody."""
-        present = self.keeper.keepers()
-        if self.keeper.changing():
-            return self._progress(now, p, "under way", "a change of the keepers is under way")
-        if present == p.keepers:
-            return self._progress(now, p, "adopted", "")
-        if len(set(present) ^ set(p.keepers)) != 1 or len(set(p.keepers)) != len(p.keepers):
-            return self._progress(now, p, "refused", "one keeper comes or goes at a time")
-        if unknown := [name for name in p.keepers if name not in self.others]:
-            return self._progress(now, p, "refused", f"no members: {', '.join(unknown)}")
-        self.keeper.offer(now, Keepers(names=p.keepers))
-        return self._progress(now, p, "under way", "")
-
-    def _progress(self, now: float, p: Propose, state: str, why: str, version: int = -1) -> Progress:
-        """`version`: that which it became; else the present one."""
+            return self._progress(now, request, "refused", f"no members: {', '.join(unknown)}")
+        self.raft.append(now, VotersChanged(names=request.voters))
+        return self._progress(now, request, "under way", "")
+
+    def _progress(
+        self, now: float, request: ChangeRequest, state: str, why: str, version: int | None = None
+    ) -> ChangeProgress:
+        """`version`: that which the change became; else the present one."""
         rows = []
-        pending = self.keeper.ledger.pending
-        for name, o in self.others.items():
-            if pending is not None and self.driving == pending.index:
-                said = "no: " + o.why if o.index == self.driving and not o.yes else ""
-                rows.append((name, said or self._through(now, name, o) or "no answer yet"))
-            elif o.version >= 0:
-                rows.append((name, f"under version {o.version}"))
-        version = self.keeper.ledger.version if version < 0 else version
-        return Progress(id=p.id, state=state, version=version, why=why, rows=tuple(rows))
+        pending = self.raft.state.pending
+        for name, member in self.members.items():
+            if pending is not None and self.prepared_index == pending.index:
+                refusal = f"no: {member.refusal}" if member.has_refused(self.prepared_index) else ""
+                reason = refusal or self._reason_to_proceed(now, name, member)
+                rows.append((name, reason or "no answer yet"))
+            elif member.version >= 0:
+                rows.append((name, f"under version {member.version}"))
+        shown_version = self.raft.state.version if version is None else version
+        return ChangeProgress(id=request.id, state=state, version=shown_version, why=why, rows=tuple(rows))
+
+
+def _member_activation(now: float, name: str, member: MemberRecord, at_ms: float) -> ActivationTime:
+    least_ms, most_ms = member.clock_ahead_ms(now)
+    drift_ms = MAX_CLOCK_DRIFT * (at_ms - now)
+    return activation_time_of(
+        name, member.token, at_ms, least_ms - drift_ms, most_ms + drift_ms, MAX_ACTIVATION_SPREAD_MS
+    )
+
+
+def _silent_reason(silent: list[str]) -> str:
+    shown = ", ".join(silent[:MAX_NAMES_LISTED])
+    more = len(silent) - MAX_NAMES_LISTED
+    return f"silent: {shown} and {more} more" if more > 0 else f"silent: {shown}"
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -100,15 +100,15 @@
     danger: str = ""
 
 
-DANGERS = {
+DECREASE_WARNINGS = {
     "outer_ms": "answers that would have been in time are broken off",
     "quoted_ms": "answers in time become late ones",
     "rate": "what this customer sends over it is no longer within its share",
     "portion": "what this customer sends over it is no longer within its share",
     "transmissions": "fewer further tries",
 }
-RISES = {"rate": "cold executors may be sent more: can they carry it?"}
-CHANGES = {"effect": "what may run twice changes", "scope": "where a repeat is dropped changes",
+INCREASE_WARNINGS = {"rate": "cold executors may be sent more: can they carry it?"}
+CHANGE_WARNINGS = {"effect": "what may run twice changes", "scope": "where a repeat is dropped changes",
            "window_ms": "how long a repeat is dropped changes"}  # fmt: skip
 
 
@@ -154,9 +154,9 @@
     for key in sorted({*a, *b}):
         if (old := a.get(key)) == (new := b.get(key)):
             continue
-        danger = CHANGES.get(key, "")
+        danger = CHANGE_WARNINGS.get(key, "")
         if isinstance(old, (int, float)) and isinstance(new, (int, float)) and not isinstance(old, bool):
-            danger = danger or (DANGERS if new < old else RISES).get(key, "")
+            danger = danger or (DECREASE_WARNINGS if new < old else INCREASE_WARNINGS).get(key, "")
         found.append(Difference(f"{where}.{key}", _plain(old), _plain(new), danger))
     return found
 
--- a/petrelway/policy/messages.py
+++ b/petrelway/policy/messages.py
@@ -1,223 +1,184 @@
-"""What front ends say to each other about terms, as bytes in frames, without I/O. Format: docs/policy.md.
+"""Messages between members about the policy, as bytes in frames, without I/O. Format: docs/policy.md.
 
-A frame is a msgpack map of one of the shapes below, with who says it; its connection is a way and no more:
-a word may be lost, late, doubled or out of order, and each is understood by itself. Times are ms of the clock
-of the process that the field names.
+A frame is a msgpack map of one of the messages below, with its sender. The connection carries no meaning: a
+message may be lost, late, duplicated or out of order, and each is understood by itself. Times are ms of the
+clock of the process that the field names. Tags and field names on the wire are those of the first version.
 """
 
 from __future__ import annotations
 
-from typing import Annotated, NamedTuple
+from typing import Annotated
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 from ..wire.framing import WireError, frame
+from .log_entries import (
+    MAX_VOTERS,
+    ActivationTime,
+    Document,
+    LogEntry,
+    MemberNames,
+    MemberRows,
+    Name,
+    Number,
+    TaggedStruct,
+    Text,
+)
 
 VERSION = 1
-WORD_BOUND = 4 << 20  # bytes of one word
-DOCUMENT_BOUND = 256 << 10  # bytes of one document
-MEMBERS_BOUND = 5000
-ENTRIES_MOST = 4  # entries in one word: each may have two documents
-Name = Annotated[str, Meta(max_length=200)]
-Text = Annotated[str, Meta(max_length=2000)]
-Document = Annotated[str, Meta(max_length=DOCUMENT_BOUND)]
-Number = Annotated[int, Meta(ge=0, lt=1 << 62)]
+MAX_MESSAGE_BYTES = 4 << 20
+MAX_ENTRIES_PER_MESSAGE = 4  # each may have two documents
+NOT_QUERIED_MS = -1.0  # `queried_ms` of a notification that answers no query
+Voters = Annotated[tuple[Name, ...], Meta(max_length=MAX_VOTERS)]
 
+# -- between voters
 
-class Shape(msgspec.Struct, frozen=True, tag=True, kw_only=True, forbid_unknown_fields=False):
-    """Fields that a later version may add are passed over."""
 
+class RequestVote(TaggedStruct, tag="AskVote"):
+    """A candidate asks for a vote; `pre_vote`: only whether one would be granted."""
 
-class Moment(msgspec.Struct, frozen=True, kw_only=True):
-    """When one process changes over, by its own clock: the old terms are used before `stop_ms`, the new ones
-    from `start_ms` on; `token` names the process."""
-
-    name: Name
-    token: Number
-    stop_ms: float
-    start_ms: float
-
-
-# -- entries of the history
-
-
-class Opened(Shape):
-    """A new leader's first entry."""
-
-
-class Proposed(Shape):
-    """A change is under way. `base_document` is what the fleet ran under by its own settings, told with the
-    first change."""
-
-    id: Name
-    base: Number
-    document: Document
-    base_document: Document
-    by: Name
-    at: float  # s since the epoch, for people
-    without: Annotated[tuple[Name, ...], Meta(max_length=MEMBERS_BOUND)] = ()
-
-
-class Decided(Shape):
-    """It takes hold; when, for each process that said yes, and why it goes on without the others."""
-
-    moments: Annotated[tuple[Moment, ...], Meta(max_length=MEMBERS_BOUND)]
-    without: Annotated[tuple[tuple[Name, Text], ...], Meta(max_length=MEMBERS_BOUND)]
-
-
-class Abandoned(Shape):
-    why: Text
-
-
-class Keepers(Shape):
-    """Who keeps the history from here on."""
-
-    names: Annotated[tuple[Name, ...], Meta(min_length=1, max_length=9)]
-
-
-class Entry(msgspec.Struct, frozen=True, kw_only=True):
-    term: Number
-    what: Opened | Proposed | Decided | Abandoned | Keepers
-
-
-# -- between keepers
-
-
-class AskVote(Shape):
     term: Number
     last_index: Number
     last_term: Number
-    before: bool  # only asks whether a vote would be given
+    pre_vote: bool = field(name="before")
+
 
+class RequestVoteResponse(TaggedStruct, tag="Vote"):
+    """The answer to it."""
 
-class Vote(Shape):
     term: Number
-    given: bool
-    before: bool
+    granted: bool = field(name="given")
+    pre_vote: bool = field(name="before")
 
 
-class Append(Shape):
-    """Entries after `index`, where the leader has an entry of `index_term`; with `snapshot`, all up to there.
-    No entries: only that the leader is there. `round` is answered."""
+class AppendEntries(TaggedStruct, tag="Append"):
+    """Entries after `previous_index`, where the leader has an entry of `previous_term`; with `snapshot`, all
+    up to there. Without entries it is a heartbeat. `round` is given back in the answer."""
 
     term: Number
-    index: Number
-    index_term: Number
-    entries: Annotated[tuple[Entry, ...], Meta(max_length=ENTRIES_MOST)]
-    commit: Number
+    previous_index: Number = field(name="index")
+    previous_term: Number = field(name="index_term")
+    entries: Annotated[tuple[LogEntry, ...], Meta(max_length=MAX_ENTRIES_PER_MESSAGE)]
+    leader_commit: Number = field(name="commit")
     round: Number
     snapshot: bytes = b""
 
 
-class Appended(Shape):
-    """`index`: the last one that is surely alike; where not `done`, the last one that may be."""
+class AppendEntriesResponse(TaggedStruct, tag="Appended"):
+    """`index`: the last one that surely matches; without `success`, the last one that may."""
 
     term: Number
-    done: bool
+    success: bool = field(name="done")
     index: Number
     round: Number
-    age_ms: float  # of the keeper's process
+    age_ms: float  # of the follower's process
 
 
-class Lost(Shape):
-    """A keeper without a file of its own asks what it may have promised."""
+class RecoveryRequest(TaggedStruct, tag="Lost"):
+    """A voter without a file of its own asks what it may have promised."""
 
     term: Number
     nonce: Number
 
 
-class Found(Shape):
+class RecoveryResponse(TaggedStruct, tag="Found"):
+    """The answer; `fresh`: nothing was ever promised or stored there."""
+
     term: Number
     nonce: Number
-    fresh: bool  # nothing was ever promised or kept there
+    fresh: bool
 
 
-# -- between leader and members
+# -- between the leader and members
 
 
-class Look(Shape):
+class ClockQuery(TaggedStruct, tag="Look"):
     """What does your clock say? `sent_ms` by the leader's clock."""
 
     term: Number
     sent_ms: float
 
 
-class Seen(Shape):
+class ClockReading(TaggedStruct, tag="Seen"):
+    """The answer; `leaving`: the member admits nothing any more, and ends."""
+
     term: Number
     sent_ms: float
     reading_ms: float
-    leaving: bool = False  # it takes nothing any more, and ends
+    leaving: bool = False
 
 
-class Prepare(Shape):
-    """Could you run under this? Whoever says yes promises to take nothing under its old terms from `by_ms` of
-    its own clock on, unless it is told what became of it."""
+class PrepareChange(TaggedStruct, tag="Prepare"):
+    """Could you run under this? A member that accepts promises to admit nothing under its old policy from
+    `promise_until_ms` of its own clock on, unless it hears the outcome."""
 
     term: Number
     index: Number  # of the proposal
     version: Number
     base: Number
     base_digest: Name
-    document: Document  # empty where the member has said yes to it
+    document: Document  # empty where the member has accepted it
     token: Number
-    by_ms: float
+    promise_until_ms: float = field(name="by_ms")
     sent_ms: float
 
 
-class Ready(Shape):
+class PrepareResponse(TaggedStruct, tag="Ready"):
+    """The answer, with the reason for a refusal."""
+
     term: Number
     index: Number
-    yes: bool
+    accepted: bool = field(name="yes")
     why: Text
     sent_ms: float
     reading_ms: float
 
 
-class Ask(Shape):
-    """What holds now? `asked_ms` by the member's clock, given back in the answer."""
+class PolicyQuery(TaggedStruct, tag="Ask"):
+    """What holds now? `queried_ms` by the member's clock, given back in the answer."""
 
-    asked_ms: float
+    queried_ms: float = field(name="asked_ms")
     version: Number
     leaving: bool = False
 
 
-class Told(Shape):
-    """What holds. `settled`: the last proposal that came to an end; `moment`: when to change over, if that is
-    still to come; `asked_ms` of the question, -1 where nobody asked."""
+class PolicyNotification(TaggedStruct, tag="Told"):
+    """What holds. `resolved_index`: the last proposal that ended; `activation`: when to change over, if that
+    is still to come; `queried_ms` of the query, NOT_QUERIED_MS without one."""
 
     term: Number
     token: Number  # of the process that it is for
-    at: Number
-    settled: Number
+    state_index: Number = field(name="at")
+    resolved_index: Number = field(name="settled")
     version: Number
     digest: Name
     document: Document  # empty: that of the settings, or one that the member has
-    keepers: Annotated[tuple[Name, ...], Meta(max_length=9)]
-    asked_ms: float
-    moment: Moment | None = None
+    voters: Voters = field(name="keepers")
+    queried_ms: float = field(name="asked_ms")
+    activation: ActivationTime | None = field(default=None, name="moment")
 
 
-class Under(Shape):
-    """The member has heard what holds after the entry `at`, and runs under this version."""
+class PolicyAcknowledgement(TaggedStruct, tag="Under"):
+    """The member has heard what holds after the entry `state_index`, and runs under this version."""
 
     term: Number
-    at: Number
+    state_index: Number = field(name="at")
     version: Number
 
 
-class Elsewhere(Shape):
+class LeaderRedirect(TaggedStruct, tag="Elsewhere"):
     """Ask this one; empty: nobody leads."""
 
     leader: Name
 
 
-# -- an operator's words, by way of a member
+# -- operators, by way of a member
 
 
-class Propose(Shape):
-    """Sent again until it is answered; the same `id` is the same change. `keepers` in place of a document
-    changes who keeps the history."""
+class ChangeRequest(TaggedStruct, tag="Propose"):
+    """An operator's change, sent again until it is answered; the same `id` is the same change. `voters` in
+    place of a document changes the voters."""
 
     id: Name
     base: Number
@@ -225,89 +186,90 @@
     base_document: Document
     by: Name
     at: float
-    without: Annotated[tuple[Name, ...], Meta(max_length=MEMBERS_BOUND)] = ()
-    keepers: Annotated[tuple[Name, ...], Meta(max_length=9)] = ()
+    without: MemberNames = ()
+    voters: Voters = field(default=(), name="keepers")
     abandon: bool = False
 
 
-class Progress(Shape):
-    """How a proposal stands; `rows`: of each member, what is known of it."""
+class ChangeProgress(TaggedStruct, tag="Progress"):
+    """How a change stands; `rows`: what is known of each member."""
 
     id: Name
     state: Name  # "under way", "adopted", "abandoned", "refused"
     version: Number
     why: Text
-    rows: Annotated[tuple[tuple[Name, Text], ...], Meta(max_length=MEMBERS_BOUND)] = ()
+    rows: MemberRows = ()
+
 
+class HistoryQuery(TaggedStruct, tag="Recall"):
+    """Asks a voter for the policy state with its history."""
 
-class Recall(Shape):
-    """The history, please."""
+    queried_ms: float = field(name="asked_ms")
 
-    asked_ms: float
 
+class HistoryResponse(TaggedStruct, tag="History"):
+    """The answer: the policy state as a snapshot carries it."""
 
-class History(Shape):
-    asked_ms: float
-    ledger: Annotated[bytes, Meta(max_length=WORD_BOUND)]
+    queried_ms: float = field(name="asked_ms")
+    state: Annotated[bytes, Meta(max_length=MAX_MESSAGE_BYTES)] = field(name="ledger")
 
 
-Body = (
-    AskVote | Vote | Append | Appended | Lost | Found | Look | Seen | Prepare | Ready | Ask | Told | Under
-    | Elsewhere | Propose | Progress | Recall | History
+MessageBody = (
+    RequestVote | RequestVoteResponse | AppendEntries | AppendEntriesResponse | RecoveryRequest
+    | RecoveryResponse | ClockQuery | ClockReading | PrepareChange | PrepareResponse | PolicyQuery
+    | PolicyNotification | PolicyAcknowledgement | LeaderRedirect | ChangeRequest | ChangeProgress
+    | HistoryQuery | HistoryResponse
 )  # fmt: skip
 
 
-class Said(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A word with who says it: fleet, name, and the token of the process."""
+class MessageEnvelope(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+    """A message with its sender: fleet, name, and the token of the process."""
 
     version: int
     fleet: Name
     name: Name
     token: Number
-    body: Body
+    body: MessageBody
 
 
 class MessageError(Exception):
-    """Bytes that are no word of ours; its text is a reason out of a few."""
+    """Bytes that are no valid message; its text is one of a few reasons."""
 
 
-_read, _write = msgspec.msgpack.Decoder(Said), msgspec.msgpack.Encoder()
+_decoder = msgspec.msgpack.Decoder(MessageEnvelope)
+_encoder = msgspec.msgpack.Encoder()
 
 
-def write(fleet: str, name: str, token: int, body: Body) -> bytes:
-    """A whole frame.
+def label(message: TaggedStruct) -> str:
+    """The message's name on the wire, by which messages are counted.
+
+    >>> label(LeaderRedirect(leader=""))
+    'Elsewhere'
+    """
+    return message.__struct_config__.tag
+
+
+def encode_message(fleet: str, name: str, token: int, body: MessageBody) -> bytes:
+    """The complete frame of a message. Raises MessageError where it is too long.
 
     >>> from ..wire.framing import Frames
-    >>> data = write("gateway", "front-1", 7, Elsewhere(leader="front-2"))
-    >>> read(next(Frames().feed(data))).body
-    Elsewhere(leader='front-2')
+    >>> data = encode_message("gateway", "front-1", 7, LeaderRedirect(leader="front-2"))
+    >>> decode_message(next(Frames().feed(data))).body
+    LeaderRedirect(leader='front-2')
     """
-    said = Said(version=VERSION, fleet=fleet, name=name, token=token, body=body)
+    envelope = MessageEnvelope(version=VERSION, fleet=fleet, name=name, token=token, body=body)
     try:
-        return frame(_write.encode(said), WORD_BOUND)
-    except WireError as fault:
-        raise MessageError("too long") from fault
+        return frame(_encoder.encode(envelope), MAX_MESSAGE_BYTES)
+    except WireError as error:
+        raise MessageError("too long") from error
 
 
-def read(payload: bytes) -> Said:
-    """Raises MessageError."""
+def decode_message(payload: bytes) -> MessageEnvelope:
+    """The message in a frame's payload. Raises MessageError."""
     try:
-        said = _read.decode(payload)
+        envelope = _decoder.decode(payload)
     except (msgspec.MsgspecError, ValueError, RecursionError) as problem:
         raise MessageError("can't be read") from problem
-    if said.version != VERSION:
+    if envelope.version != VERSION:
         raise MessageError("version")
-    return said
-
-
-class Kept(NamedTuple):
-    """What a keeper has on its disk: `blank` until it may vote; entries follow `index`, where the ledger
-    stands as `snapshot`."""
-
-    blank: bool = True
-    term: int = 0
-    voted: str = ""
-    index: int = 0
-    index_term: int = 0
-    snapshot: bytes = b""
-    entries: tuple[Entry, ...] = ()
+    return envelope
--- a/petrelway/policy/policy_holder.py
+++ b/petrelway/policy/policy_holder.py
@@ -1,9 +1,9 @@
-"""One member's terms, pure: under which version it may take a request now, what it has promised, when it
-changes over. Times are ms of the member's own clock, which never steps back.
+"""One member's policy, without I/O: under which version it may admit a request now, what it has promised, and
+when it changes over. The host asks it in the turn in which a request is admitted.
 
-The table of states is in docs/policy.md. Nobody is ever half way: what a version needs is made and checked
-before the member says yes, and to change over is one assignment, in the turn in which a request is taken or
-before.
+The table of states is in docs/policy.md. A member is never half way: what a version needs is prepared and
+checked before the member accepts it, and changing over is one assignment. Times are ms of the member's own
+clock, which never steps back.
 """
 
 from __future__ import annotations
@@ -14,24 +14,39 @@
 from typing import Any, NamedTuple
 
 from .document import digest
-from .messages import Ask, Look, Moment, Prepare, Ready, Seen, Told
-
-ASK_MS = 300.0  # one that may not serve, or has promised for longer than it was heard of, asks this often
-LEASE_MS = 5000.0  # where the silent have to stop: terms hold so long without a word
-RENEW_MS = 1500.0  # and are asked for again after this
-RETRY_MS = 500.0  # a client is told to come back after this, while no end is known
-
-
-class Serving(Enum):
-    ASKS = "asks before it serves"  # just started
-    SERVES = "serves"
-    PROMISED = "has promised"  # serves under the old terms until its promise runs out
-    WAITS = "waits for the outcome"  # its promise has run out
-    CHANGES = "changes over"  # it knows the moment
-    LAPSED = "heard nothing for too long"  # where the silent have to stop
-
-
-class Terms(NamedTuple):
+from .log_entries import ActivationTime
+from .messages import (
+    ClockQuery,
+    ClockReading,
+    PolicyNotification,
+    PolicyQuery,
+    PrepareChange,
+    PrepareResponse,
+)
+
+QUERY_INTERVAL_MS = 300.0  # a member that may not serve, or whose promise ran out, asks this often
+LEASE_MS = 5000.0  # where silent members have to stop, a policy holds so long without an answer
+LEASE_RENEWAL_INTERVAL_MS = 1500.0  # the lease is renewed after this: three attempts before it runs out
+CLIENT_RETRY_MS = 500.0  # a client is asked to come back after this while no end is known
+MAX_REASON_LENGTH = 2000  # characters of a refusal's reason
+
+# Checks a document and makes of it all that admitting requests under it needs, and whether it holds on a
+# lease; raises ValueError with what is wrong.
+PrepareDocument = Callable[[str], tuple[Any, bool]]
+
+
+class ServingState(Enum):
+    """Whether a member admits requests, and why not; the values are shown to operators."""
+
+    QUERYING = "asks before it serves"  # just started
+    SERVING = "serves"
+    PROMISED = "has promised"  # serves under the old policy until its promise runs out
+    AWAITING_OUTCOME = "waits for the outcome"  # its promise has run out
+    ACTIVATING = "changes over"  # it knows the activation time
+    LEASE_EXPIRED = "heard nothing for too long"  # where silent members have to stop
+
+
+class PreparedPolicy(NamedTuple):
     """A version and what the host has made of its document; `stop`: it holds on a lease."""
 
     version: int
@@ -40,205 +55,261 @@
     stop: bool = False
 
 
-class Promise(NamedTuple):
-    index: int  # of the proposal
-    terms: Terms
+class PreparePromise(NamedTuple):
+    """What the member has accepted: it admits nothing under its old policy from `until_ms` on."""
+
+    index: int  # of the proposal in the log
+    policy: PreparedPolicy
     until_ms: float
 
 
-class Change(NamedTuple):
-    terms: Terms
+class ScheduledActivation(NamedTuple):
+    """The old policy is used before `stop_ms`, the new one from `start_ms` on."""
+
+    policy: PreparedPolicy
     stop_ms: float
     start_ms: float
 
 
-class Adopter:
-    """What this process may take requests under."""
+class PolicyHolder:
+    """The policy under which this process may admit requests."""
 
     def __init__(
-        self, now: float, name: str, token: int, own: Terms, make: Callable[[str], tuple[Any, bool]]
+        self, now: float, name: str, token: int, initial: PreparedPolicy, prepare_document: PrepareDocument
     ) -> None:
-        """`own`: version 0, what the settings say. `make` checks a document and makes of it all that taking
-        requests under it needs, and whether it holds on a lease; raises ValueError with what is wrong."""
-        self.name, self.token, self.make = name, token, make
-        self.terms, self.own = own, own
-        self.asking = True  # it has not been told yet what holds
-        self.promise: Promise | None = None
-        self.change: Change | None = None
-        self.lease_ms = -math.inf  # the terms' end, where they hold on a lease
-        self.at = self.settled = self.term = 0  # the latest state and term it has heard of
-        self.keepers: tuple[str, ...] = ()
-        self.asked_ms = -math.inf
-        self.refused = ""  # why it can't run under what holds
-        self.leaving = False  # it takes nothing any more
-        self.unlike = False  # its settings say other terms than the leader's, and nothing newer holds
+        """`initial`: version 0, which the settings give."""
+        self.name = name
+        self.token = token
+        self.prepare_document = prepare_document
+        self.policy = initial
+        self.initial_policy = initial
+        self.awaiting_policy = True  # no leader has said yet what holds
+        self.promise: PreparePromise | None = None
+        self.activation: ScheduledActivation | None = None
+        self.lease_until_ms = -math.inf  # the end of the policy, where it holds on a lease
+        # The latest state and term that it has heard of.
+        self.state_index = 0
+        self.resolved_index = 0
+        self.term = 0
+        self.voters: tuple[str, ...] = ()
+        self.queried_ms = -math.inf
+        self.unusable_reason = ""  # why it can't run under what holds
+        self.leaving = False  # it admits nothing any more
+        self.settings_differ = False  # its settings differ from the leader's, and nothing newer holds
 
     # -- what holds
 
-    def look(self, now: float) -> tuple[Terms | None, float]:
-        """The terms to take a request under now, or None and a time to come back (ms). It changes over here:
-        danger: one that stood still would take the first request in its socket under terms that are over."""
-        change = self.change
-        if change is not None and now >= change.start_ms:
-            self.terms, self.change, self.promise, self.asking = change.terms, None, None, False
-            change = None
-        if self.asking or self.refused or self.leaving:
-            return None, RETRY_MS
-        if change is not None and now >= change.stop_ms:
-            return None, change.start_ms - now
-        if change is None and self.promise is not None and now >= self.promise.until_ms:
-            return None, RETRY_MS
-        if self.terms.stop and now >= self.lease_ms:
-            return None, RETRY_MS
-        return self.terms, 0.0
-
-    def state(self, now: float) -> Serving:
-        if self.asking or self.refused:
-            return Serving.ASKS
-        if self.change is not None:
-            return Serving.CHANGES
+    def admitting_policy(self, now: float) -> tuple[PreparedPolicy | None, float]:
+        """The policy to admit a request under now, or None and a time to come back (ms). It changes over
+        here: a process that was paused would otherwise admit the first request that waits in its socket under
+        a policy that is over."""
+        activation = self.activation
+        if activation is not None and now >= activation.start_ms:
+            self._activate(activation.policy)
+            activation = None
+        if self.awaiting_policy or self.unusable_reason or self.leaving:
+            return None, CLIENT_RETRY_MS
+        if activation is not None and now >= activation.stop_ms:
+            return None, activation.start_ms - now
+        if activation is None and self.promise is not None and now >= self.promise.until_ms:
+            return None, CLIENT_RETRY_MS
+        if self.policy.stop and now >= self.lease_until_ms:
+            return None, CLIENT_RETRY_MS
+        return self.policy, 0.0
+
+    def _activate(self, policy: PreparedPolicy) -> None:
+        self.policy = policy
+        self.activation = None
+        self.promise = None
+        self.awaiting_policy = False
+
+    def state(self, now: float) -> ServingState:
+        """The state that operators are shown."""
+        if self.awaiting_policy or self.unusable_reason:
+            return ServingState.QUERYING
+        if self.activation is not None:
+            return ServingState.ACTIVATING
         if self.promise is not None:
-            return Serving.PROMISED if now < self.promise.until_ms else Serving.WAITS
-        if self.terms.stop and now >= self.lease_ms:
-            return Serving.LAPSED
-        return Serving.SERVES
+            in_time = now < self.promise.until_ms
+            return ServingState.PROMISED if in_time else ServingState.AWAITING_OUTCOME
+        if self.policy.stop and now >= self.lease_until_ms:
+            return ServingState.LEASE_EXPIRED
+        return ServingState.SERVING
 
-    # -- what is heard
+    # -- messages of a leader
 
-    def seen(self, now: float, word: Look) -> Seen | None:
+    def read_clock(self, now: float, message: ClockQuery) -> ClockReading | None:
         """What its clock says. From now on it follows no leader of an earlier term."""
-        if word.term < self.term:
+        if message.term < self.term:
+            return None
+        self.term = message.term
+        return ClockReading(term=message.term, sent_ms=message.sent_ms, reading_ms=now, leaving=self.leaving)
+
+    def prepare(self, now: float, message: PrepareChange) -> PrepareResponse | None:
+        """Accept or refuse a change. Accepting is a promise: nothing is admitted under the present policy
+        from `promise_until_ms` on, until the outcome is known. None: the message is outdated."""
+        self.admitting_policy(now)
+        if self._is_outdated(message):
             return None
-        self.term = word.term
-        return Seen(term=word.term, sent_ms=word.sent_ms, reading_ms=now, leaving=self.leaving)
-
-    def prepare(self, now: float, word: Prepare) -> Ready | None:
-        """A yes is a promise: from `by_ms` on nothing under the present terms, until the outcome is known."""
-        self.look(now)
-        if self.leaving or word.token != self.token or word.term < self.term or word.index <= self.settled:
-            return None  # for another process, from a leader that is none any more, or over
-        if not word.document and (self.promise is None or self.promise.index != word.index):
+        promised = self.promise is not None and self.promise.index == message.index
+        if not message.document and not promised:
             return None
-        self.term = word.term
-        promise, why = self.promise, ""
-        if promise is None or promise.index != word.index:
-            why = self._fits(word)
-            if not why:
-                try:
-                    made, stop = self.make(word.document)
-                except ValueError as problem:
-                    why = str(problem)[:2000]
-                else:
-                    terms = Terms(word.version, digest(word.document), made, stop)
-                    self.promise = Promise(word.index, terms, word.by_ms)
+        self.term = message.term
+        refusal = ""
+        if promised:
+            until_ms = max(self.promise.until_ms, message.promise_until_ms)
+            self.promise = self.promise._replace(until_ms=until_ms)
         else:
-            self.promise = promise._replace(until_ms=max(promise.until_ms, word.by_ms))
-        return Ready(term=word.term, index=word.index, yes=not why, why=why, sent_ms=word.sent_ms,
-                     reading_ms=now)  # fmt: skip
-
-    def _fits(self, word: Prepare) -> str:
-        if not self.asking and self.terms.version != word.base:
-            return f"runs under version {self.terms.version}, not {word.base}"
-        if word.base == 0 and self.own.digest != word.base_digest:
+            refusal = self._mismatch(message) or self._promise(message)
+        return PrepareResponse(
+            term=message.term,
+            index=message.index,
+            accepted=not refusal,
+            why=refusal,
+            sent_ms=message.sent_ms,
+            reading_ms=now,
+        )
+
+    def _is_outdated(self, message: PrepareChange) -> bool:
+        """For another process, from a leader that is none any more, or about a change that is over."""
+        if self.leaving or message.token != self.token:
+            return True
+        return message.term < self.term or message.index <= self.resolved_index
+
+    def _mismatch(self, message: PrepareChange) -> str:
+        """Why a change does not start from what holds here, or nothing."""
+        if not self.awaiting_policy and self.policy.version != message.base:
+            return f"runs under version {self.policy.version}, not {message.base}"
+        if message.base == 0 and self.initial_policy.digest != message.base_digest:
             return "its settings file says other terms than that of the one that was asked"
         return ""
 
-    def told(self, now: float, word: Told) -> bool:
-        """What holds, by a leader's word; whether it was news. Danger: a late word must undo nothing."""
-        self.look(now)
-        if word.token != self.token or word.at < self.at or word.term < self.term:
+    def _promise(self, message: PrepareChange) -> str:
+        """Prepare the document and promise; why that is impossible, or nothing."""
+        try:
+            made, stop = self.prepare_document(message.document)
+        except ValueError as problem:
+            return str(problem)[:MAX_REASON_LENGTH]
+        policy = PreparedPolicy(message.version, digest(message.document), made, stop)
+        self.promise = PreparePromise(message.index, policy, message.promise_until_ms)
+        return ""
+
+    def receive_notification(self, now: float, message: PolicyNotification) -> bool:
+        """Take in what holds by a leader's word; whether it was news. A late message undoes nothing."""
+        self.admitting_policy(now)
+        outdated = message.state_index < self.state_index or message.term < self.term
+        if message.token != self.token or outdated:
             return False
-        if word.version < self.terms.version:  # the keepers have lost what was adopted: said by the host
+        if message.version < self.policy.version:  # the voters have lost what was adopted: the host logs it
             return False
-        self.at, self.term, self.settled = word.at, word.term, max(self.settled, word.settled)
-        self.keepers, self.unlike = word.keepers, not word.version and word.digest != self.own.digest
-        if word.version > self.terms.version or word.version and self.refused:
-            if not self._take_over(word):
-                return True
-        if self.promise is not None and self.promise.index <= self.settled and self.change is None:
+        self.state_index = message.state_index
+        self.term = message.term
+        self.resolved_index = max(self.resolved_index, message.resolved_index)
+        self.voters = message.voters
+        self.settings_differ = not message.version and message.digest != self.initial_policy.digest
+        usable_again = bool(message.version and self.unusable_reason)
+        if (message.version > self.policy.version or usable_again) and not self._take_over(message):
+            return True
+        if self._promise_is_resolved() and self.activation is None:
             self.promise = None
-        if word.asked_ms >= 0.0:
-            self.lease_ms = max(self.lease_ms, word.asked_ms + LEASE_MS)
-            # danger: one that has just started knows what will hold, and not what holds until then
-            self.asking = self.asking and self.change is not None
+        if message.queried_ms >= 0.0:
+            self.lease_until_ms = max(self.lease_until_ms, message.queried_ms + LEASE_MS)
+            # One that has just started knows what will hold, and not what holds until then.
+            self.awaiting_policy = self.awaiting_policy and self.activation is not None
         return True
 
-    def _take_over(self, word: Told) -> bool:
-        change = self.change
-        if change is not None and change.terms.version == word.version:
+    def _promise_is_resolved(self) -> bool:
+        return self.promise is not None and self.promise.index <= self.resolved_index
+
+    def _take_over(self, message: PolicyNotification) -> bool:
+        """Schedule a newer policy, or hold it at once; whether that was possible."""
+        if self.activation is not None and self.activation.policy.version == message.version:
             return True
-        promise = self.promise
-        if promise is not None and promise.index <= self.settled and promise.terms.digest == word.digest:
-            terms = promise.terms
-        elif not word.document:
-            return False  # it is told anew, once it asks
-        else:
-            try:
-                made, stop = self.make(word.document)
-            except ValueError as problem:
-                self.refused = f"can't run under version {word.version}: {problem}"
-                self.change = None
-                return False
-            terms = Terms(word.version, word.digest, made, stop)
-        self.refused = ""
-        moment = word.moment
-        if moment is not None and moment.token == self.token:
-            self.change = Change(terms, moment.stop_ms, moment.start_ms)
-        else:  # danger: one that has just started may have promised already what comes after these terms
-            self.terms, self.change = terms, None
+        policy = self._prepared(message)
+        if policy is None:
+            return False
+        self.unusable_reason = ""
+        activation = message.activation
+        if activation is not None and activation.token == self.token:
+            self.activation = ScheduledActivation(policy, activation.stop_ms, activation.start_ms)
+        else:  # its promise stays: one that has just started may have promised what comes after this policy
+            self.policy = policy
+            self.activation = None
         return True
 
-    def keepers_gone(self, now: float, began_ms: float) -> None:
-        """A majority of the keepers was proved gone, by tries that began no sooner. A change without this
-        member needs a majority that has run for longer than a lease, so none can have been decided from then
-        on for the time of a lease. Danger: once the lease has run out one may have been, before."""
-        if now < self.lease_ms:
-            self.lease_ms = max(self.lease_ms, began_ms + LEASE_MS)
-
-    # -- what it asks
-
-    def ask(self, now: float) -> Ask | None:
-        """A question for whoever leads, if it is time for one."""
-        state = self.state(now)
-        if state in (Serving.ASKS, Serving.WAITS, Serving.LAPSED):
-            wait_ms = ASK_MS
-        elif self._leased():
-            wait_ms = RENEW_MS
-        else:
+    def _prepared(self, message: PolicyNotification) -> PreparedPolicy | None:
+        """The policy of a notification: the promised one, or made anew. None where it has no document, which
+        is sent once the member asks, or can't be used."""
+        if self._promise_is_resolved() and self.promise.policy.digest == message.digest:
+            return self.promise.policy
+        if not message.document:
             return None
-        if now < self.asked_ms + wait_ms:
+        try:
+            made, stop = self.prepare_document(message.document)
+        except ValueError as problem:
+            self.unusable_reason = f"can't run under version {message.version}: {problem}"
+            self.activation = None
             return None
-        self.asked_ms = now
-        return Ask(asked_ms=now, version=self.terms.version)
+        return PreparedPolicy(message.version, message.digest, made, stop)
+
+    def voters_gone(self, now: float, began_ms: float) -> None:
+        """A majority of the voters was proved gone, by connection attempts that began no sooner. A change
+        without this member needs a majority that has run for longer than a lease, so none can have been
+        decided from then on for the time of a lease. Once the lease has run out one may have been, before."""
+        if now < self.lease_until_ms:
+            self.lease_until_ms = max(self.lease_until_ms, began_ms + LEASE_MS)
+
+    # -- queries to the leader
+
+    def next_query(self, now: float) -> PolicyQuery | None:
+        """A query for whoever leads, if it is time for one."""
+        interval_ms = self._query_interval_ms(now)
+        if interval_ms is None or now < self.queried_ms + interval_ms:
+            return None
+        self.queried_ms = now
+        return PolicyQuery(queried_ms=now, version=self.policy.version)
+
+    def _query_interval_ms(self, now: float) -> float | None:
+        if not_serving(self.state(now)):
+            return QUERY_INTERVAL_MS
+        return LEASE_RENEWAL_INTERVAL_MS if self._is_leased() else None
 
-    def _leased(self) -> bool:
-        """Danger: terms that begin to hold on a lease would lapse in the moment in which they begin."""
-        return self.terms.stop or self.change is not None and self.change.terms.stop
+    def _is_leased(self) -> bool:
+        """Whether the policy holds on a lease, or the next one will: that one would expire in the moment in
+        which it begins."""
+        return self.policy.stop or (self.activation is not None and self.activation.policy.stop)
 
     def wake_ms(self, now: float) -> float:
         """When to look again at the latest."""
-        due = []
-        if self.change is not None:
-            due.append(self.change.start_ms)
-        state = self.state(now)
-        if state in (Serving.ASKS, Serving.WAITS, Serving.LAPSED):
-            due.append(self.asked_ms + ASK_MS)
-        elif self._leased():
-            due.append(self.asked_ms + RENEW_MS)
-        if state is Serving.PROMISED:
-            due.append(self.promise.until_ms)
-        return min(due, default=math.inf)
-
-
-def moment_of(name: str, token: int, at_ms: float, lo_ms: float, hi_ms: float, most_ms: float) -> Moment:
-    """When a process changes over whose clock is ahead of the leader's by `lo_ms` to `hi_ms`, so that the
-    moment is `at_ms` by the leader's. Two processes differ by `most_ms` at most in what they take meanwhile;
-    where the clock is known less well than that, it takes nothing in between.
-
-    >>> known, hardly = moment_of("a", 1, 1e3, 40.0, 60.0, 50.0), moment_of("a", 1, 1e3, 0.0, 200.0, 50.0)
-    >>> known.stop_ms, known.start_ms, hardly.stop_ms, hardly.start_ms
+        times = []
+        interval_ms = self._query_interval_ms(now)
+        if interval_ms is not None:
+            times.append(self.queried_ms + interval_ms)
+        if self.activation is not None:
+            times.append(self.activation.start_ms)
+        if self.state(now) is ServingState.PROMISED:
+            times.append(self.promise.until_ms)
+        return min(times, default=math.inf)
+
+
+def not_serving(state: ServingState) -> bool:
+    """Whether a member in this state admits nothing, with no known end."""
+    return state in (ServingState.QUERYING, ServingState.AWAITING_OUTCOME, ServingState.LEASE_EXPIRED)
+
+
+def activation_time_of(
+    name: str, token: int, at_ms: float, least_ms: float, most_ms: float, max_spread_ms: float
+) -> ActivationTime:
+    """When a process changes over whose clock is ahead of the leader's by `least_ms` to `most_ms`, so that it
+    is `at_ms` by the leader's. Two processes differ by `max_spread_ms` at most in what they admit meanwhile;
+    where the clock is known less well than that, the process admits nothing in between.
+
+    >>> known = activation_time_of("a", 1, 1e3, 40.0, 60.0, 50.0)
+    >>> uncertain = activation_time_of("a", 1, 1e3, 0.0, 200.0, 50.0)
+    >>> known.stop_ms, known.start_ms, uncertain.stop_ms, uncertain.start_ms
     (1050.0, 1050.0, 1025.0, 1175.0)
     """
-    middle = (lo_ms + hi_ms) / 2.0
-    stop, start = min(middle, lo_ms + most_ms / 2.0), max(middle, hi_ms - most_ms / 2.0)
-    return Moment(name=name, token=token, stop_ms=at_ms + stop, start_ms=at_ms + start)
+    middle_ms = (least_ms + most_ms) / 2.0
+    stop_ms = min(middle_ms, least_ms + max_spread_ms / 2.0)
+    start_ms = max(middle_ms, most_ms - max_spread_ms / 2.0)
+    return ActivationTime(name=name, token=token, stop_ms=at_ms + stop_ms, start_ms=at_ms + start_ms)
--- a/petrelway/policy/policy_member.py
+++ b/petrelway/policy/policy_member.py
@@ -1,77 +1,94 @@
-"""One front end's part in the fleet's terms, pure: as one that runs under them, as a keeper where the
-settings name it, as leader while it is elected.
+"""One front end's part in the fleet's policy, without I/O: as a holder that runs under it, as a Raft voter
+where the settings name it, as the coordinator of changes while it leads.
 
-How to call it: tell it what happens, then call `decide(now)` until it gives None and carry each decision out
-in its order, a disk's before the next; call again at `due_ms(now)` at the latest. `terms(now)` says under
-which terms a request may be taken in this turn. Times are ms of a clock that never steps back.
+Call it so: report what happens, then call `next_action(now)` until it gives None and carry each action out in
+its order, a write to the disk before the next; call again at `wake_ms(now)` at the latest.
+`admitting_policy(now)` says under which policy a request may be admitted in this turn. Times are ms of a
+clock that never steps back.
 """
 
 from __future__ import annotations
 
 import math
 from collections import Counter, deque
-from collections.abc import Callable
+from enum import StrEnum
+from functools import singledispatchmethod
 from typing import Any, NamedTuple
 
 import msgspec
 
-from . import raft as keepers
-from . import state_machine as ledger
-from .change_coordinator import AGAIN_MS, Lead, Try
+from . import state_machine
+from .change_coordinator import ChangeCoordinator, ProbePort, SendMessage
+from .log_entries import PersistentState
 from .messages import (
-    Append,
-    Appended,
-    Ask,
-    AskVote,
-    Elsewhere,
-    Found,
-    History,
-    Kept,
-    Look,
-    Lost,
-    Prepare,
-    Progress,
-    Propose,
-    Ready,
-    Recall,
-    Seen,
-    Told,
-    Under,
-    Vote,
+    AppendEntries,
+    AppendEntriesResponse,
+    ChangeProgress,
+    ChangeRequest,
+    ClockQuery,
+    ClockReading,
+    HistoryQuery,
+    HistoryResponse,
+    LeaderRedirect,
+    PolicyAcknowledgement,
+    PolicyNotification,
+    PolicyQuery,
+    PrepareChange,
+    PrepareResponse,
+    RecoveryRequest,
+    RecoveryResponse,
+    RequestVote,
+    RequestVoteResponse,
+    label,
 )
-from .policy_holder import Adopter, Serving, Terms
-from .raft import Keeper, Role
+from .operator_changes import OperatorChanges
+from .policy_holder import PolicyHolder, PrepareDocument, PreparedPolicy, ServingState
+from .raft import RaftNode
+from .raft_state import RaftAction, RaftActionKind, RaftRole
 
-BETWEEN_KEEPERS = (AskVote, Vote, Append, Appended, Lost, Found)
-TO_LEADER = (Ask, Seen, Ready, Under)
-WISHES_BOUND = 16  # of operators, by way of this member, at a time
-WISH_MS = 60_000.0  # one that nobody has asked after for so long is forgotten
-SAID_BOUND = 256  # changes that wait to be said
+MAX_PENDING_EVENTS = 256  # events that wait to be logged
+LOGGED_ROLES = (RaftRole.LEADER, RaftRole.FOLLOWER, RaftRole.RECOVERING)
 
 
-class Keep(NamedTuple):
-    """Write to the disk, and sync, before the next decision is carried out."""
+class PolicyEvent(StrEnum):
+    """What is logged for operators. Records carry the values, which are those of the first version."""
 
-    kept: Kept
-    since: int
+    VERSION = "version"
+    SERVING = "serving"
+    UNUSABLE = "can't run under what holds"
+    SETTINGS_DIFFER = "settings differ from the others'"
+    NEWER_VERSION_SEEN = "others run under a newer version"
+    VOTERS_BEHIND = "keepers are behind"
+    VOTING_STOPPED = "keeps no more"
+    ROLE = "keeper"
 
 
-class Tell(NamedTuple):
-    to: str
-    word: Any
+class PersistState(NamedTuple):
+    """Write to the disk, and sync, before the next action is carried out."""
 
+    persistent_state: PersistentState
+    after_index: int
 
-class Wish:
-    """An operator's change, on its way."""
 
-    def __init__(self, propose: Propose, now: float) -> None:
-        self.propose, self.seen_ms, self.sent_ms = propose, now, -math.inf
-        why = "no keeper has answered yet"
-        self.progress = Progress(id=propose.id, state="under way", version=0, why=why)
+class ObservedState(NamedTuple):
+    """What is logged when it changes."""
 
+    serving: ServingState | None = None
+    version: int | None = None
+    unusable_reason: str = ""
+    settings_differ: bool = False
+    role: RaftRole | None = None
 
-class Party:
-    """All that one process has to do with the terms."""
+
+class ReceivedHistory(NamedTuple):
+    """The policy state as a voter sent it, encoded."""
+
+    queried_ms: float
+    state: bytes
+
+
+class PolicyMember:
+    """All that one process has to do with the policy."""
 
     def __init__(
         self,
@@ -79,227 +96,285 @@
         name: str,
         token: int,
         members: list[str],
-        names: tuple[str, ...],
-        own: Terms,
-        make: Callable[[str], tuple[Any, bool]],
-        kept: Kept | None,
+        initial_voters: tuple[str, ...],
+        initial_policy: PreparedPolicy,
+        prepare_document: PrepareDocument,
+        stored: PersistentState | None,
     ) -> None:
-        """`members`: all listed, this one included; `names`: the keepers by the settings; `kept`: None where
-        this one keeps nothing."""
-        self.name, self.token, self.names, self.members = name, token, names, sorted({*members, name})
-        self.adopter = Adopter(now, name, token, own, make)
-        self.keeper = Keeper(now, name, names, token, kept) if kept is not None else None
-        self.lead: Lead | None = None
-        self.term = 0
+        """`members`: all listed, this one included; `initial_voters`: by the settings; `stored`: None where
+        this one is no voter."""
+        self.name = name
+        self.token = token
+        self.initial_voters = initial_voters
+        self.members = sorted({*members, name})
+        self.holder = PolicyHolder(now, name, token, initial_policy, prepare_document)
+        self.raft = RaftNode(now, name, initial_voters, token, stored) if stored is not None else None
+        self.coordinator: ChangeCoordinator | None = None
+        self.coordinated_term = 0
         self.leader = ""  # whom to ask
-        self.turned = 0  # keepers asked in turn, where nobody is known to lead
-        self.wishes: dict[str, Wish] = {}
-        self.recalled: tuple[float, bytes] | None = None  # the history, when it was asked for
-        self.newer = 0  # the highest version that another member was heard to run under
-        self.out: deque[Keep | Tell | Try] = deque()
-        self.said: deque[tuple[str, dict[str, Any]]] = deque(maxlen=SAID_BOUND)
+        self.voters_asked = 0  # voters asked in turn, where nobody is known to lead
+        self.operator_changes = OperatorChanges()
+        self.received_history: ReceivedHistory | None = None
+        self.newest_version_seen = 0  # the highest one that another member was heard to run under
+        self.actions: deque[PersistState | SendMessage | ProbePort] = deque()
+        self.events: deque[tuple[str, dict[str, Any]]] = deque(maxlen=MAX_PENDING_EVENTS)
         self.counts: Counter[str] = Counter()
-        self.before: tuple[Any, ...] = ()
-
-    # -- inputs
-
-    def heard(self, now: float, sender: str, token: int, word: Any) -> None:
-        """A word from the listed member `sender`, whose process is `token`."""
-        self.counts[type(word).__name__] += 1
-        if isinstance(word, BETWEEN_KEEPERS):
-            if self.keeper is not None and (sender in self.keeper.keepers() or sender in self.names):
-                self.keeper.heard(now, sender, token, word)
-        elif isinstance(word, TO_LEADER):
-            self._for_leader(now, sender, token, word)
-        elif isinstance(word, Look):
-            if (seen := self.adopter.seen(now, word)) is not None:
-                self._to_leader(sender, seen)
-        elif isinstance(word, Prepare):
-            if (ready := self.adopter.prepare(now, word)) is not None:
-                self._to_leader(sender, ready)
-        elif isinstance(word, Told):
-            if self.adopter.told(now, word):
-                a = self.adopter
-                version = a.change.terms.version if a.change is not None else a.terms.version
-                self._to_leader(sender, Under(term=word.term, at=word.at, version=version))
-            elif word.version < self.adopter.terms.version and word.token == self.token:
-                self._say("keepers are behind", theirs=word.version, ours=self.adopter.terms.version)
-        elif isinstance(word, Elsewhere):
-            self.leader = word.leader
-            self.adopter.asked_ms = -math.inf if word.leader else self.adopter.asked_ms
-        elif isinstance(word, Propose):
-            if self.lead is not None:
-                self.out.append(Tell(sender, self.lead.proposed(now, word)))
-            elif self.keeper is not None:
-                self.out.append(Tell(sender, Elsewhere(leader=self.keeper.leader)))
-        elif isinstance(word, Progress):
-            if (wish := self.wishes.get(word.id)) is not None:
-                wish.progress = word
-        elif isinstance(word, Recall):
-            if self.keeper is not None:
-                data = ledger.write(self.keeper.ledger)
-                self.out.append(Tell(sender, History(asked_ms=word.asked_ms, ledger=data)))
-        elif isinstance(word, History):
-            try:
-                ledger.read(word.ledger)
-            except msgspec.MsgspecError:
-                self.counts["history can't be read"] += 1
-                return
-            self.recalled = word.asked_ms, word.ledger
-
-    def _for_leader(self, now: float, sender: str, token: int, word: Any) -> None:
-        if self.lead is not None:
-            self.lead.heard(now, sender, token, word)
-        elif isinstance(word, Ask) and self.keeper is not None:
-            self.out.append(Tell(sender, Elsewhere(leader=self.keeper.leader)))
-
-    def _to_leader(self, leader: str, word: Any) -> None:
+        self._observed = ObservedState()
+
+    # -- messages
+
+    def receive(self, now: float, sender: str, token: int, message: Any) -> None:
+        """Take in a message of the listed member `sender`, whose process is `token`."""
+        self.counts[label(message)] += 1
+        self._handle(message, now, sender, token)
+
+    @singledispatchmethod
+    def _handle(self, message: Any, now: float, sender: str, token: int) -> None:
+        raise TypeError(f"no policy message: {type(message).__name__}")
+
+    @_handle.register(RequestVote)
+    @_handle.register(RequestVoteResponse)
+    @_handle.register(AppendEntries)
+    @_handle.register(AppendEntriesResponse)
+    @_handle.register(RecoveryRequest)
+    @_handle.register(RecoveryResponse)
+    def _handle_raft(self, message: Any, now: float, sender: str, token: int) -> None:
+        if self.raft is not None and (sender in self.raft.voters() or sender in self.initial_voters):
+            self.raft.receive(now, sender, message)
+
+    @_handle.register(PolicyQuery)
+    @_handle.register(ClockReading)
+    @_handle.register(PrepareResponse)
+    @_handle.register(PolicyAcknowledgement)
+    def _handle_for_leader(self, message: Any, now: float, sender: str, token: int) -> None:
+        if self.coordinator is not None:
+            self.coordinator.receive(now, sender, token, message)
+        elif isinstance(message, PolicyQuery) and self.raft is not None:
+            self.actions.append(SendMessage(sender, LeaderRedirect(leader=self.raft.leader)))
+
+    @_handle.register
+    def _handle_clock_query(self, message: ClockQuery, now: float, sender: str, token: int) -> None:
+        reading = self.holder.read_clock(now, message)
+        if reading is not None:
+            self._answer_leader(sender, reading)
+
+    @_handle.register
+    def _handle_prepare(self, message: PrepareChange, now: float, sender: str, token: int) -> None:
+        response = self.holder.prepare(now, message)
+        if response is not None:
+            self._answer_leader(sender, response)
+
+    @_handle.register
+    def _handle_notification(self, message: PolicyNotification, now: float, sender: str, token: int) -> None:
+        holder = self.holder
+        if holder.receive_notification(now, message):
+            next_policy = holder.activation.policy if holder.activation is not None else holder.policy
+            acknowledgement = PolicyAcknowledgement(
+                term=message.term, state_index=message.state_index, version=next_policy.version
+            )
+            self._answer_leader(sender, acknowledgement)
+        elif message.version < holder.policy.version and message.token == self.token:
+            self._log_event(PolicyEvent.VOTERS_BEHIND, theirs=message.version, ours=holder.policy.version)
+
+    @_handle.register
+    def _handle_redirect(self, message: LeaderRedirect, now: float, sender: str, token: int) -> None:
+        self.leader = message.leader
+        if message.leader:
+            self.holder.queried_ms = -math.inf  # ask it at once
+
+    @_handle.register
+    def _handle_change_request(self, message: ChangeRequest, now: float, sender: str, token: int) -> None:
+        if self.coordinator is not None:
+            self.actions.append(SendMessage(sender, self.coordinator.request_change(now, message)))
+        elif self.raft is not None:
+            self.actions.append(SendMessage(sender, LeaderRedirect(leader=self.raft.leader)))
+
+    @_handle.register
+    def _handle_progress(self, message: ChangeProgress, now: float, sender: str, token: int) -> None:
+        self.operator_changes.update(message)
+
+    @_handle.register
+    def _handle_history_query(self, message: HistoryQuery, now: float, sender: str, token: int) -> None:
+        if self.raft is not None:
+            data = state_machine.encode_state(self.raft.state)
+            response = HistoryResponse(queried_ms=message.queried_ms, state=data)
+            self.actions.append(SendMessage(sender, response))
+
+    @_handle.register
+    def _handle_history(self, message: HistoryResponse, now: float, sender: str, token: int) -> None:
+        try:
+            state_machine.decode_state(message.state)
+        except msgspec.MsgspecError:
+            self.counts["history can't be read"] += 1
+            return
+        self.received_history = ReceivedHistory(message.queried_ms, message.state)
+
+    def _answer_leader(self, leader: str, message: Any) -> None:
         self.leader = leader
-        self.out.append(Tell(leader, word))
+        self.actions.append(SendMessage(leader, message))
+
+    # -- other inputs
 
-    def tried(self, now: float, name: str, began_ms: float, refused: bool) -> None:
-        """The end of a try that a decision asked for."""
-        if self.lead is not None:
-            self.lead.tried(now, name, began_ms, refused)
+    def port_probed(self, name: str, began_ms: float, refused: bool) -> None:
+        """The end of a probe that an action asked for."""
+        if self.coordinator is not None:
+            self.coordinator.port_probed(name, began_ms, refused)
 
-    def disk_failed(self, now: float) -> None:
-        """What could not be kept was never said: this one keeps nothing from here on. Drop all decisions."""
-        self.keeper = self.lead = None
-        self.out.clear()
-        self._say("keeps no more")
+    def disk_failed(self) -> None:
+        """What could not be persisted was never sent: this process is no voter from here on, and all actions
+        are dropped."""
+        self.raft = None
+        self.coordinator = None
+        self.actions.clear()
+        self._log_event(PolicyEvent.VOTING_STOPPED)
 
-    def wished(self, now: float, propose: Propose) -> Progress:
+    def request_change(self, now: float, request: ChangeRequest) -> ChangeProgress:
         """An operator's change, or the question how it stands: the same one is asked for again and again."""
-        wish = self.wishes.get(propose.id)
-        if wish is None:
-            if len(self.wishes) >= WISHES_BOUND:
-                why = f"{WISHES_BOUND} changes are on their way through this member already"
-                return Progress(id=propose.id, state="refused", version=0, why=why)
-            wish = self.wishes[propose.id] = Wish(propose, now)
-        wish.seen_ms = now
-        return wish.progress
-
-    def recall(self, now: float) -> None:
-        """Ask a keeper for the history; it comes to `recalled`."""
-        self.out.append(Tell(self._whom(), Recall(asked_ms=now)))
-
-    def proved_gone(self, now: float, began_ms: dict[str, float]) -> None:
-        """Members whose ports refused tries that began then."""
-        names = self.adopter.keepers or self.names
-        latest = sorted((began_ms[name] for name in names if name in began_ms), reverse=True)
-        if 2 * len(latest) > len(names):
-            self.adopter.keepers_gone(now, latest[len(names) // 2])
-
-    def others_run(self, now: float, version: int) -> None:
+        return self.operator_changes.request(now, request)
+
+    def request_history(self, now: float) -> None:
+        """Ask a voter for the history; it comes to `received_history`."""
+        self.actions.append(SendMessage(self._whom_to_ask(), HistoryQuery(queried_ms=now)))
+
+    def members_gone(self, now: float, began_ms: dict[str, float]) -> None:
+        """Members whose ports refused connection attempts that began then."""
+        voters = self.holder.voters or self.initial_voters
+        latest = sorted((began_ms[name] for name in voters if name in began_ms), reverse=True)
+        if 2 * len(latest) > len(voters):
+            self.holder.voters_gone(now, latest[len(voters) // 2])
+
+    def version_seen(self, now: float, version: int) -> None:
         """Another member says that it runs under this version: is this one's over?"""
-        if version > max(self.newer, self.adopter.terms.version) and self.adopter.change is None:
-            self.newer = version
-            self._say("others run under a newer version", version=version, ours=self.adopter.terms.version)
-            self.out.append(Tell(self._whom(), Ask(asked_ms=now, version=self.adopter.terms.version)))
+        present = self.holder.policy.version
+        if version > max(self.newest_version_seen, present) and self.holder.activation is None:
+            self.newest_version_seen = version
+            self._log_event(PolicyEvent.NEWER_VERSION_SEEN, version=version, ours=present)
+            self.actions.append(
+                SendMessage(self._whom_to_ask(), PolicyQuery(queried_ms=now, version=present))
+            )
 
     def leave(self, now: float) -> None:
-        """This process takes nothing any more."""
-        self.adopter.leaving = True
-        ask = Ask(asked_ms=now, version=self.adopter.terms.version, leaving=True)
-        self.out.append(Tell(self._whom(), ask))
+        """This process admits nothing any more."""
+        self.holder.leaving = True
+        query = PolicyQuery(queried_ms=now, version=self.holder.policy.version, leaving=True)
+        self.actions.append(SendMessage(self._whom_to_ask(), query))
 
     # -- what holds
 
-    def terms(self, now: float) -> tuple[Terms | None, float]:
-        """The terms to take a request under in this turn, or None and a time to come back (ms)."""
-        return self.adopter.look(now)
+    def admitting_policy(self, now: float) -> tuple[PreparedPolicy | None, float]:
+        """The policy to admit a request under in this turn, or None and a time to come back (ms)."""
+        return self.holder.admitting_policy(now)
 
-    def state(self, now: float) -> Serving:
-        return self.adopter.state(now)
+    def state(self, now: float) -> ServingState:
+        """The state that operators are shown."""
+        return self.holder.state(now)
 
-    # -- decisions
+    # -- actions
 
-    def decide(self, now: float) -> Keep | Tell | Try | None:
+    def next_action(self, now: float) -> PersistState | SendMessage | ProbePort | None:
+        """The next action to carry out, or None. What the process sends to itself is taken in here, in its
+        order among the actions: it must not overtake a write."""
         self._turn(now)
-        while self.out:
-            d = self.out.popleft()
-            if isinstance(d, Tell):
-                if d.to == self.name:  # danger: what it tells itself comes in its order too
-                    self.heard(now, self.name, self.token, d.word)
+        while self.actions:
+            action = self.actions.popleft()
+            if isinstance(action, SendMessage):
+                if action.to == self.name:
+                    self.receive(now, self.name, self.token, action.message)
                     self._turn(now)
                     continue
-                if not d.to:
+                if not action.to:
                     continue
-            return d
+            return action
         return None
 
     def _turn(self, now: float) -> None:
-        keeper = self.keeper
-        if keeper is not None:
-            while (d := keeper.decide(now)) is not None:
-                self.out.append(Keep(d.kept, d.since) if d.verb is keepers.Verb.KEEP else Tell(d.to, d.word))
-            leads = keeper.role is Role.LEADS
-            if not leads:
-                self.lead = None
-            elif self.lead is None or self.term != keeper.term:
-                self.lead, self.term = Lead(now, keeper, self.members, self.adopter.own.digest), keeper.term
-            if self.lead is not None:
-                if keeper.ready() and (now >= self.lead.due_ms or keeper.ledger.at != self.lead.turned_at):
-                    self.lead.turn(now)
-                while self.lead.out:
-                    d = self.lead.out.popleft()
-                    self.out.append(d if isinstance(d, Try) else Tell(*d))
-                while (d := keeper.decide(now)) is not None:
-                    self.out.append(
-                        Keep(d.kept, d.since) if d.verb is keepers.Verb.KEEP else Tell(d.to, d.word)
-                    )
-        if (ask := self.adopter.ask(now)) is not None:
-            self.out.append(Tell(self._whom(), ask))
-        for id, wish in list(self.wishes.items()):
-            if now > wish.seen_ms + WISH_MS:
-                del self.wishes[id]
-            elif wish.progress.state == "under way" and now >= wish.sent_ms + AGAIN_MS:
-                wish.sent_ms = now
-                self.out.append(Tell(self._whom(), wish.propose))
-        self.adopter.look(now)
-        self._note(now)
-
-    def _whom(self) -> str:
-        """Who is asked: whoever is known to lead, else keepers in turn. Danger: one that is dead would be
-        asked for ever."""
-        if self.keeper is not None and self.keeper.leader:
-            return self.keeper.leader
+        if self.raft is not None:
+            self._take_raft_actions(now)
+            self._follow_leadership(now)
+            if self.coordinator is not None:
+                self._coordinate(now)
+        query = self.holder.next_query(now)
+        if query is not None:
+            self.actions.append(SendMessage(self._whom_to_ask(), query))
+        for request in self.operator_changes.due(now):
+            self.actions.append(SendMessage(self._whom_to_ask(), request))
+        self.holder.admitting_policy(now)
+        self._log_changes(now)
+
+    def _take_raft_actions(self, now: float) -> None:
+        while (action := self.raft.next_action(now)) is not None:
+            self.actions.append(_host_action(action))
+
+    def _follow_leadership(self, now: float) -> None:
+        """A coordinator for each term in which this process leads, and none else."""
+        raft = self.raft
+        if raft.role is not RaftRole.LEADER:
+            self.coordinator = None
+        elif self.coordinator is None or self.coordinated_term != raft.current_term:
+            initial_digest = self.holder.initial_policy.digest
+            self.coordinator = ChangeCoordinator(now, raft, self.members, initial_digest)
+            self.coordinated_term = raft.current_term
+
+    def _coordinate(self, now: float) -> None:
+        coordinator = self.coordinator
+        state_changed = self.raft.state.applied_index != coordinator.handled_state_index
+        if self.raft.is_ready() and (now >= coordinator.timer_ms or state_changed):
+            coordinator.turn(now)
+        self.actions.extend(coordinator.actions)
+        coordinator.actions.clear()
+        self._take_raft_actions(now)
+
+    def _whom_to_ask(self) -> str:
+        """Whoever is known to lead, else the voters in turn. A leader that does not answer is asked once: one
+        that is dead would otherwise be asked for ever."""
+        if self.raft is not None and self.raft.leader:
+            return self.raft.leader
         if self.leader:
-            leader, self.leader = self.leader, ""  # unless it answers, another one is asked next time
+            leader = self.leader
+            self.leader = ""
             return leader
-        names = self.adopter.keepers or self.names
-        self.turned += 1
-        return names[self.turned % len(names)]
+        voters = self.holder.voters or self.initial_voters
+        self.voters_asked += 1
+        return voters[self.voters_asked % len(voters)]
 
-    def due_ms(self, now: float) -> float:
-        due = [self.adopter.wake_ms(now)]
-        if self.keeper is not None:
-            due.append(self.keeper.wake_ms())
-        if self.lead is not None:
-            due.append(max(now, self.lead.due_ms))
-        due += [w.sent_ms + AGAIN_MS for w in self.wishes.values() if w.progress.state == "under way"]
-        return max(now, min(due))
+    def wake_ms(self, now: float) -> float:
+        """When to call `next_action` again at the latest."""
+        times = [self.holder.wake_ms(now), *self.operator_changes.wake_times()]
+        if self.raft is not None:
+            times.append(self.raft.wake_ms())
+        if self.coordinator is not None:
+            times.append(self.coordinator.timer_ms)
+        return max(now, min(times))
 
-    # -- what is said
+    # -- events for operators
 
-    def _say(self, what: str, **more: Any) -> None:
-        self.said.append((what, more))
+    def _log_event(self, event: PolicyEvent, **details: Any) -> None:
+        self.events.append((event.value, details))
 
-    def _note(self, now: float) -> None:
+    def _log_changes(self, now: float) -> None:
         """One event where something changed for an operator."""
-        a, k = self.adopter, self.keeper
-        present = (a.state(now), a.terms.version, a.refused, a.unlike, k.role if k else None)
-        if present == self.before:
+        holder = self.holder
+        role = self.raft.role if self.raft is not None else None
+        before = self._observed
+        after = ObservedState(
+            holder.state(now), holder.policy.version, holder.unusable_reason, holder.settings_differ, role
+        )
+        if after == before:
             return
-        before, self.before = self.before or (None, None, "", False, None), present
-        state, version, refused, unlike, role = present
-        if version != before[1]:
-            self._say("version", version=version, digest=a.terms.digest)
-        if state is not before[0]:
-            self._say("serving", state=state.value, version=version)
-        if refused and refused != before[2]:
-            self._say("can't run under what holds", why=refused)
-        if unlike and not before[3]:
-            self._say("settings differ from the others'", digest=a.own.digest)
-        if role is not before[4] and role in (Role.LEADS, Role.FOLLOWS, Role.BLANK):
-            self._say("keeper", role=role.value, term=k.term)
+        self._observed = after
+        if after.version != before.version:
+            self._log_event(PolicyEvent.VERSION, version=after.version, digest=holder.policy.digest)
+        if after.serving is not before.serving:
+            self._log_event(PolicyEvent.SERVING, state=after.serving.value, version=after.version)
+        if after.unusable_reason and after.unusable_reason != before.unusable_reason:
+            self._log_event(PolicyEvent.UNUSABLE, why=after.unusable_reason)
+        if after.settings_differ and not before.settings_differ:
+            self._log_event(PolicyEvent.SETTINGS_DIFFER, digest=holder.initial_policy.digest)
+        if role is not before.role and role in LOGGED_ROLES:
+            self._log_event(PolicyEvent.ROLE, role=role.value, term=self.raft.current_term)
+
+
+def _host_action(action: RaftAction) -> PersistState | SendMessage:
+    if action.kind is RaftActionKind.PERSIST:
+        return PersistState(action.persistent_state, action.after_index)
+    return SendMessage(action.to, action.message)
--- a/petrelway/policy/service.py
+++ b/petrelway/policy/service.py
@@ -1,359 +1,285 @@
-"""Terms on sockets: words to and from the members' ports, a keeper's file, the moment of a change.
+"""The policy on sockets: messages to and from the members' control ports, a voter's file, and the clock.
 
-Only I/O stands here; what holds and what follows from it is in party.py and what that is made of. Words go
-over the members' control ports, by a connection from each side that is opened when there is something to say;
-one that is lost is said again by whoever needs it.
+Only I/O stands here; what holds and what follows from it is decided in `policy_member.py` and its parts.
 """
 
 from __future__ import annotations
 
 import sqlite3
-from collections import Counter, deque
+from collections import Counter
 from collections.abc import Callable
 from typing import Any
 
 from twisted.application import service
-from twisted.internet import interfaces, protocol
-from twisted.python.failure import Failure
-from zope.interface import implementer
-
-from ..membership.service import CALLERS_BOUND, Dial, FleetService, Listed
-from ..wire.framing import Frames, WireError
-from . import state_machine as ledgers
-from .change_coordinator import Try
-from .messages import WORD_BOUND, MessageError, Progress, Propose, read, write
-from .policy_holder import Serving, Terms
-from .policy_member import Keep, Party
-from .raft import Role
-from .raft_storage import Store
-
-IDLE_S = 10.0  # a connection on which nothing is heard is closed
-LIFE_S = 5.0  # a connection is used for so long
-DIAL_S = 2.0
-WAITING_BOUND = 64  # words that wait for a connection; more are lost, the oldest first
-AGAIN_S = 0.1  # a peer that could not be reached is dialled again no sooner
-REASONS_BOUND = 32  # reasons for dropped words that are logged
-
-
-class Hearing(protocol.Protocol):
-    """Somebody says words, or looks whether this process is there."""
-
-    timer = None
-
-    def connectionMade(self) -> None:
-        self.frames = Frames(WORD_BOUND)
-        self.factory.hearing.add(self)
-        if len(self.factory.hearing) > self.factory.bound:
-            self.transport.abortConnection()
-        else:
-            self.timer = self.factory.reactor.callLater(IDLE_S, self.transport.abortConnection)
-
-    def dataReceived(self, data: bytes) -> None:
-        try:
-            for payload in self.frames.feed(data):
-                self.factory.came(payload)
-        except WireError:
-            self.factory.dropped("too long")
-            self.transport.abortConnection()
-            return
-        if self.timer is not None and self.timer.active():
-            self.timer.reset(IDLE_S)
-
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
-        self.factory.hearing.discard(self)
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
-
-
-class Door(protocol.Factory):
-    """The members' control port, where terms are changed by words."""
-
-    noisy, protocol = False, Hearing
-
-    def __init__(
-        self, reactor, members: int, came: Callable[[bytes], None], dropped: Callable[[str], None]
-    ) -> None:
-        self.reactor, self.came, self.dropped = reactor, came, dropped
-        self.hearing: set[Hearing] = set()
-        self.bound = CALLERS_BOUND + 2 * members
-
-    def close(self) -> None:
-        for each in list(self.hearing):
-            each.transport.abortConnection()
-
-
-@implementer(interfaces.IPushProducer)
-class Saying(protocol.Protocol):
-    """A connection to a peer; it says nothing back here."""
-
-    def connectionMade(self) -> None:
-        self.transport.registerProducer(self, True)
-        self.factory.up(self.transport)
 
-    def pauseProducing(self) -> None:
-        self.factory.full = True
-
-    def resumeProducing(self) -> None:
-        self.factory.full = False
-
-    def stopProducing(self) -> None:
-        self.transport.loseConnection()
-
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
-        self.factory.down(self.transport)
-
-
-class Way(protocol.ClientFactory):
-    """Words to one peer."""
-
-    noisy, protocol = False, Saying
-
-    def __init__(self, reactor, peer: Listed) -> None:
-        self.reactor, self.peer = reactor, peer
-        self.waiting: deque[bytes] = deque(maxlen=WAITING_BOUND)
-        self.transport = self.connector = self.end = None
-        self.again_s, self.full = 0.0, False
-
-    def say(self, data: bytes) -> None:
-        if self.transport is not None:
-            if not self.full:  # danger: what a stopped peer does not take would pile up; it is lost instead
-                self.transport.write(data)
-            return
-        self.waiting.append(data)
-        if self.connector is None and self.reactor.seconds() >= self.again_s:
-            self.connector = self.reactor.connectTCP(self.peer.address, self.peer.port, self, timeout=DIAL_S)
-
-    def up(self, transport) -> None:
-        self.transport, self.full = transport, False
-        transport.setTcpNoDelay(True)
-        self.end = self.reactor.callLater(LIFE_S, self._over, transport)
-        transport.write(b"".join(self.waiting))
-        self.waiting.clear()
-
-    def _over(self, transport) -> None:
-        """Danger: a connection that came up and on which nothing passes would swallow all that is said."""
-        self.transport = self.connector = None
-        transport.loseConnection()
-        self.end = self.reactor.callLater(DIAL_S, transport.abortConnection)
-
-    def down(self, transport) -> None:
-        if transport is self.transport:
-            self.transport = self.connector = None
-        if self.end is not None and self.end.active() and self.transport is None:
-            self.end.cancel()
-
-    def clientConnectionFailed(self, connector, reason: Failure) -> None:
-        self.connector = None
-        self.waiting.clear()
-        self.again_s = self.reactor.seconds() + AGAIN_S
-
-    def close(self) -> None:
-        self.waiting.clear()
-        if self.end is not None and self.end.active():
-            self.end.cancel()
-        if self.connector is not None:
-            self.connector.disconnect()
+from ..membership.service import Dial, FleetService
+from . import state_machine
+from .change_coordinator import ProbePort
+from .connections import CONNECT_TIMEOUT_S, PeerConnectionFactory, PolicyListenerFactory
+from .messages import (
+    ChangeProgress,
+    ChangeRequest,
+    MessageError,
+    decode_message,
+    encode_message,
+    label,
+)
+from .policy_holder import PrepareDocument, PreparedPolicy, not_serving
+from .policy_member import PersistState, PolicyEvent, PolicyMember
+from .raft_state import RaftRole
+from .raft_storage import RaftStorage
+
+MAX_LOGGED_REASONS = 32  # reasons for dropped messages that are logged
+MIN_WAIT_MS = 1.0
+MAX_WAIT_MS = 60_000.0
+ERROR_EVENTS = frozenset((PolicyEvent.VOTING_STOPPED, PolicyEvent.VOTERS_BEHIND, PolicyEvent.UNUSABLE))
 
 
 class PolicyService(service.Service):
-    """One front end's part in the fleet's terms."""
+    """One front end's part in the fleet's policy."""
 
     def __init__(
         self,
         reactor,
         fleet: FleetService,
-        keepers: list[str],
+        initial_voters: list[str],
         file: str,
-        own: Terms,
+        initial_policy: PreparedPolicy,
         document: str,
-        make: Callable[[str], tuple[Any, bool]],
-        adopted: Callable[[Terms], None],
+        prepare_document: PrepareDocument,
+        on_adopted: Callable[[PreparedPolicy], None],
         log,
         note: Callable[..., Any] | None = None,
     ) -> None:
-        """`own`: version 0, what the settings say, with its `document`. `adopted` hears the terms in the turn
-        in which they begin to hold. `file`: of a keeper, else empty."""
-        self.reactor, self.fleet, self.names, self.file = reactor, fleet, tuple(keepers), file
-        self.own, self.document, self.make, self.adopted = own, document, make, adopted
-        self.log, self.note = log, note
+        """`initial_policy`: version 0, what the settings say, with its `document`. `on_adopted` is called
+        with the policy in the turn in which it begins to hold. `file`: of a voter, else empty."""
+        self.reactor = reactor
+        self.fleet = fleet
+        self.initial_voters = tuple(initial_voters)
+        self.file = file
+        self.initial_policy = initial_policy
+        self.document = document
+        self.prepare_document = prepare_document
+        self.on_adopted = on_adopted
+        self.log = log
+        self.note = note
         self.name = fleet.me.name
-        self.ways = {p.name: Way(reactor, p) for p in fleet.peers.values()}
-        self.door = Door(reactor, len(self.ways) + 1, self._came, self._dropped)
-        self.store: Store | None = None
+        self.connections = {peer.name: PeerConnectionFactory(reactor, peer) for peer in fleet.peers.values()}
+        self.listener_factory = PolicyListenerFactory(
+            reactor, len(self.connections) + 1, self._receive, self._dropped
+        )
+        self.storage: RaftStorage | None = None
         self.counts: Counter[str] = Counter()
-        self.terms, self.wake, self.pulling = own, None, False
+        self.policy = initial_policy
+        self.timer = None
+        self.pulling = False
 
     def now(self) -> float:
+        """The present time (ms)."""
         return self.reactor.seconds() * 1e3
 
     def startService(self) -> None:
-        """After the control port is listened on, before anything is taken. Raises StorageError."""
-        if self.name in self.names:
-            self.store = Store(self.file, self.fleet.fleet, self.name)
-        members = [self.name, *self.ways]
-        self.party = Party(self.now(), self.name, self.fleet.token, members, self.names, self.own, self.make,
-                           self.store.kept if self.store else None)  # fmt: skip
+        """Start after the control port is listened on, before anything is admitted. Raises StorageError."""
+        if self.name in self.initial_voters:
+            self.storage = RaftStorage(self.file, self.fleet.fleet, self.name)
+        self.member = PolicyMember(
+            self.now(),
+            self.name,
+            self.fleet.token,
+            [self.name, *self.connections],
+            self.initial_voters,
+            self.initial_policy,
+            self.prepare_document,
+            self.storage.stored if self.storage else None,
+        )
         super().startService()
         self.pull()
 
-    # -- what is heard
+    # -- messages
 
-    def _came(self, payload: bytes) -> None:
+    def _receive(self, payload: bytes) -> None:
         try:
-            said = read(payload)
-            if said.fleet != self.fleet.fleet:
+            envelope = decode_message(payload)
+            if envelope.fleet != self.fleet.fleet:
                 raise MessageError("another fleet")
-            if said.name not in self.ways:
+            if envelope.name not in self.connections:
                 raise MessageError("no member's name")
-        except MessageError as fault:
-            self._dropped(str(fault))
+        except MessageError as error:
+            self._dropped(str(error))
             return
         if self.running:
-            self.party.heard(self.now(), said.name, said.token, said.body)
+            self.member.receive(self.now(), envelope.name, envelope.token, envelope.body)
             self.pull()
 
-    def _dropped(self, why: str) -> None:
-        self.counts[f"dropped: {why}"] += 1
-        if self.counts[f"dropped: {why}"] == 1 and len(self.counts) <= REASONS_BOUND:
-            self.log.warning("word on terms dropped", why=why)
+    def _dropped(self, reason: str) -> None:
+        counted_as = f"dropped: {reason}"
+        self.counts[counted_as] += 1
+        if self.counts[counted_as] == 1 and len(self.counts) <= MAX_LOGGED_REASONS:
+            self.log.warning("policy message dropped", why=reason)
 
-    def others_run(self, version: int) -> None:
-        """A member's datagram tells its version."""
-        if self.running and version > self.terms.version:
-            self.party.others_run(self.now(), version)
+    def version_seen(self, version: int) -> None:
+        """A member's datagram names its version."""
+        if self.running and version > self.policy.version:
+            self.member.version_seen(self.now(), version)
             self.pull()
 
     # -- the turn
 
     def pull(self) -> None:
-        """Carry out decisions until there is none. Danger: what the disk has not kept must not be said."""
+        """Carry out actions until there is none, each after the one before: what the disk has not stored must
+        not be sent."""
         if self.pulling or not self.running:
             return
         self.pulling = True
-        if self.terms.stop:
-            fleet = self.fleet
-            proofs = {fleet.peers[m.id].name: m.refused_ms for m in fleet.members.proved(self.now())}
-            self.party.proved_gone(self.now(), proofs)
+        if self.policy.stop:
+            self._report_members_gone()
         try:
-            while (d := self.party.decide(self.now())) is not None:
-                if isinstance(d, Keep):
-                    self._keep(d)
-                elif isinstance(d, Try):
-                    self._try(d.to)
-                elif d.to in self.ways:
-                    self._say(d.to, d.word)
+            while (action := self.member.next_action(self.now())) is not None:
+                if isinstance(action, PersistState):
+                    self._persist(action)
+                elif isinstance(action, ProbePort):
+                    self._probe(action.to)
+                elif action.to in self.connections:
+                    self._send(action.to, action.message)
         finally:
             self.pulling = False
-        self.look()
-        while self.party.said:
-            what, more = self.party.said.popleft()
-            loud = what in ("keeps no more", "keepers are behind", "can't run under what holds")
-            (self.log.error if loud else self.log.info)(f"terms: {what}", **more)
-        if self.wake is not None and self.wake.active():
-            self.wake.cancel()
-        wait_ms = self.party.due_ms(self.now()) - self.now()
-        self.wake = self.reactor.callLater(min(max(wait_ms, 1.0), 60_000.0) / 1e3, self.pull)
-
-    def _keep(self, d: Keep) -> None:
+        self.admission_delay_ms()
+        self._log_events()
+        self._schedule_pull()
+
+    def _report_members_gone(self) -> None:
+        proved = self.fleet.members.proved(self.now())
+        began_ms = {self.fleet.peers[member.id].name: member.refused_ms for member in proved}
+        self.member.members_gone(self.now(), began_ms)
+
+    def _log_events(self) -> None:
+        while self.member.events:
+            what, details = self.member.events.popleft()
+            log = self.log.error if what in ERROR_EVENTS else self.log.info
+            log(f"policy: {what}", **details)
+
+    def _schedule_pull(self) -> None:
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
+        wait_ms = self.member.wake_ms(self.now()) - self.now()
+        self.timer = self.reactor.callLater(min(max(wait_ms, MIN_WAIT_MS), MAX_WAIT_MS) / 1e3, self.pull)
+
+    def _persist(self, action: PersistState) -> None:
         try:
-            self.store.keep(d.kept, d.since)
+            self.storage.persist(action.persistent_state, action.after_index)
         except (sqlite3.Error, OSError) as problem:
-            self.log.error("keeper's file can't be written", file=self.file, problem=str(problem))
-            self.party.disk_failed(self.now())
-            self.store.close()
-            self.store = None
+            self.log.error("voter's file can't be written", file=self.file, problem=str(problem))
+            self.member.disk_failed()
+            self.storage.close()
+            self.storage = None
 
-    def _say(self, to: str, word: Any) -> None:
-        self.counts[f"said {type(word).__name__}"] += 1
+    def _send(self, to: str, message: Any) -> None:
+        self.counts[f"said {label(message)}"] += 1
         try:
-            data = write(self.fleet.fleet, self.name, self.fleet.token, word)
-        except MessageError as fault:
-            self._dropped(f"not said: {fault}")
+            data = encode_message(self.fleet.fleet, self.name, self.fleet.token, message)
+        except MessageError as error:
+            self._dropped(f"not said: {error}")
             return
         self.counts["bytes said"] += len(data)
-        self.ways[to].say(data)
+        self.connections[to].send(data)
 
-    def _try(self, name: str) -> None:
-        peer, began_ms = self.ways.get(name), self.now()
-        if peer is None:
+    def _probe(self, name: str) -> None:
+        connection = self.connections.get(name)
+        began_ms = self.now()
+        if connection is None:
             return
 
         def done(refused: bool) -> None:
             if self.running:
-                self.party.tried(self.now(), name, began_ms, refused)
+                self.member.port_probed(name, began_ms, refused)
                 self.pull()
 
-        self.reactor.connectTCP(peer.peer.address, peer.peer.port, Dial(done), timeout=DIAL_S)
+        peer = connection.peer
+        self.reactor.connectTCP(peer.address, peer.port, Dial(done), timeout=CONNECT_TIMEOUT_S)
 
     # -- what holds
 
-    def look(self) -> float:
-        """0 if a request may be taken in this turn, under `terms`; else a time to come back (ms)."""
-        terms, retry_ms = self.party.terms(self.now())
-        if terms is None:
-            return max(1.0, retry_ms)
-        if terms is not self.terms:
-            self.terms = terms
-            self.fleet.members.version = terms.version
-            self.adopted(terms)
+    def admission_delay_ms(self) -> float:
+        """0 if a request may be admitted in this turn, under `policy`; else a time to come back (ms)."""
+        policy, retry_ms = self.member.admitting_policy(self.now())
+        if policy is None:
+            return max(MIN_WAIT_MS, retry_ms)
+        if policy is not self.policy:
+            self.policy = policy
+            self.fleet.members.version = policy.version
+            self.on_adopted(policy)
         return 0.0
 
     # -- operators
 
-    def wished(self, propose: Propose) -> Progress:
-        progress = self.party.wished(self.now(), propose)
+    def request_change(self, request: ChangeRequest) -> ChangeProgress:
+        """An operator's change, or the question how it stands."""
+        progress = self.member.request_change(self.now(), request)
         self.pull()
         return progress
 
-    def recall(self) -> None:
-        self.party.recall(self.now())
+    def request_history(self) -> None:
+        """Ask a voter for the history, which `history` then gives."""
+        self.member.request_history(self.now())
         self.pull()
 
-    def history(self) -> ledgers.Ledger | None:
-        """As far as it is known here: a keeper's own, or what was last recalled."""
-        if self.party.keeper is not None and self.party.keeper.role is not Role.BLANK:
-            return self.party.keeper.ledger
-        return ledgers.read(self.party.recalled[1]) if self.party.recalled else None
-
-    def held(self) -> str:
-        """In one line, for operators."""
-        return f"version {self.terms.version}: {self.party.state(self.now()).value}"
-
-    def seen(self) -> dict[str, Any]:
-        """For operators."""
-        now, a, k = self.now(), self.party.adopter, self.party.keeper
-        state = self.party.state(now)
+    def history(self) -> state_machine.PolicyState | None:
+        """The policy state as far as it is known here: a voter's own, or what was last received."""
+        raft = self.member.raft
+        if raft is not None and raft.role is not RaftRole.RECOVERING:
+            return raft.state
+        received = self.member.received_history
+        return state_machine.decode_state(received.state) if received else None
+
+    def summary(self) -> str:
+        """What holds, in one line, for operators."""
+        return f"version {self.policy.version}: {self.member.state(self.now()).value}"
+
+    def status(self) -> dict[str, Any]:
+        """What holds, for operators: the console's keys."""
+        now = self.now()
+        holder = self.member.holder
+        raft = self.member.raft
+        policy = holder.policy
+        state = self.member.state(now)
+        activation = holder.activation
+        lease_s = round((holder.lease_until_ms - now) / 1e3, 1) if policy.stop else None
+        voter = ""
+        if raft is not None:
+            entries = f"{raft.commit_index} of {raft.last_index} entries"
+            voter = f"{raft.role.value}, term {raft.current_term}, {entries}"
         return {
-            "version": a.terms.version,
-            "digest": a.terms.digest,
-            "serving": state not in (Serving.ASKS, Serving.WAITS, Serving.LAPSED),
+            "version": policy.version,
+            "digest": policy.digest,
+            "serving": not not_serving(state),
             "state": state.value,
-            "why not": a.refused,
-            "settings differ": a.unlike,
-            "promised for": a.promise.terms.version if a.promise else None,
-            "changes over in ms": round(a.change.start_ms - now, 1) if a.change else None,
-            "lease s": round((a.lease_ms - now) / 1e3, 1) if a.terms.stop else None,
-            "keepers": list(k.keepers() if k else a.keepers or self.names),
-            "leader": k.leader if k else self.party.leader,
-            "keeper": f"{k.role.value}, term {k.term}, {k.commit} of {k.last} entries" if k else "",
-            "document": a.terms.made[1] if a.terms.version else self.document,
+            "why not": holder.unusable_reason,
+            "settings differ": holder.settings_differ,
+            "promised for": holder.promise.policy.version if holder.promise else None,
+            "changes over in ms": round(activation.start_ms - now, 1) if activation else None,
+            "lease s": lease_s,
+            "keepers": list(raft.voters() if raft else holder.voters or self.initial_voters),
+            "leader": raft.leader if raft else self.member.leader,
+            "keeper": voter,
+            "document": policy.made[1] if policy.version else self.document,
             "own document": self.document,
-            "counts": dict(sorted((self.counts + self.party.counts).items())),
+            "counts": dict(sorted((self.counts + self.member.counts).items())),
         }
 
     # -- the end
 
-    def leaving(self) -> None:
-        """This process takes nothing more."""
-        self.party.leave(self.now())
+    def leave(self) -> None:
+        """This process admits nothing more."""
+        self.member.leave(self.now())
         self.pull()
 
     def stopService(self) -> None:
+        """Close the connections and the file."""
         super().stopService()
-        if self.wake is not None and self.wake.active():
-            self.wake.cancel()
-        for way in self.ways.values():
-            way.close()
-        self.door.close()
-        if self.store is not None:
-            self.store.close()
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
+        for connection in self.connections.values():
+            connection.close()
+        self.listener_factory.close()
+        if self.storage is not None:
+            self.storage.close()
--- a/tests/compatibility/forms_policy_change.py
+++ b/tests/compatibility/forms_policy_change.py
@@ -19,10 +19,11 @@
 from petrelway.membership.service import FleetService, Listed
 from petrelway.membership.swim import Whole
 from petrelway.policy.document import canonical, check, differences, digest
-from petrelway.policy.messages import Kept, Propose
-from petrelway.policy.policy_holder import Serving, Terms
-from petrelway.policy.raft import Role
-from petrelway.policy.raft_storage import Store
+from petrelway.policy.log_entries import PersistentState
+from petrelway.policy.messages import ChangeRequest
+from petrelway.policy.policy_holder import PreparedPolicy, ServingState
+from petrelway.policy.raft_state import RaftRole
+from petrelway.policy.raft_storage import RaftStorage
 from petrelway.policy.service import PolicyService
 from petrelway.settings.front import Fleet, FrontEndPlace
 
@@ -42,7 +43,7 @@
         own = document("terms")
         may_vote(folder / "kept")
         self.policy = PolicyService(
-            self.reactor, fleet, ["a"], str(folder / "kept"), Terms(0, digest(own), own), own,
+            self.reactor, fleet, ["a"], str(folder / "kept"), PreparedPolicy(0, digest(own), own), own,
             lambda text: (("made", text), False), lambda terms: None, log,
         )  # fmt: skip
         self.policy.startService()
@@ -56,8 +57,8 @@
     def wish(self, name: str) -> Any:
         """The answer to a wish that is checked in, as an operator's JSON; its documents are the two terms."""
         documents = {"document": document("changed_terms"), "base_document": document("terms")}
-        wish = msgspec.json.decode(json.dumps({**read_form(TOPIC, name), **documents}), type=Propose)
-        return json.loads(msgspec.json.encode(self.policy.wished(wish)))
+        wish = msgspec.json.decode(json.dumps({**read_form(TOPIC, name), **documents}), type=ChangeRequest)
+        return json.loads(msgspec.json.encode(self.policy.request_change(wish)))
 
     def page(self, **asked: str) -> Any:
         """The policy page."""
@@ -71,8 +72,8 @@
 
 def may_vote(file: Path) -> None:
     """A keeper's file that lets it vote at once: a new one would have to ask other keepers first."""
-    store = Store(str(file), "f", "a")
-    store.keep(Kept(False), 0)
+    store = RaftStorage(str(file), "f", "a")
+    store.persist(PersistentState(False), 0)
     store.close()
 
 
@@ -106,6 +107,6 @@
         "a member's state": [state.name.lower() for state in State],
         "the fleet's view": [whole.value for whole in Whole],
         "what a daemon gives up": [step.name.lower().replace("_", " ") for step in Step],
-        "how terms hold": [serving.value for serving in Serving],
-        "a keeper's role": [role.value for role in Role],
+        "how terms hold": [serving.value for serving in ServingState],
+        "a keeper's role": [role.value for role in RaftRole],
     }
--- a/tests/compatibility/forms_policy_commands.py
+++ b/tests/compatibility/forms_policy_commands.py
@@ -18,7 +18,7 @@
 from forms_policy_files import FORMS, load
 
 from petrelway.commands.policy import policy
-from petrelway.policy.messages import Propose
+from petrelway.policy.messages import ChangeRequest
 
 TOPIC = "policy_commands"
 TERMS_FILE = FORMS / "policy_document" / "after.jsonnet"
@@ -93,7 +93,7 @@
 def wishes() -> list[str]:
     """Each change that the commands send, as the console reads it."""
     bodies = [body for _, _, _, asked in exchanges() for _, _, _, body in asked if body]
-    return [msgspec.json.encode(msgspec.json.decode(body, type=Propose)).decode() for body in bodies]
+    return [msgspec.json.encode(msgspec.json.decode(body, type=ChangeRequest)).decode() for body in bodies]
 
 
 FILES = {"exchanges.json": exchanges, "wishes.json": wishes}
--- a/tests/compatibility/forms_policy_document.py
+++ b/tests/compatibility/forms_policy_document.py
@@ -45,7 +45,7 @@
 
 def keys() -> list[Any]:
     """The sections, and the keys that make a difference dangerous with their warnings."""
-    tables = (document.DANGERS, document.RISES, document.CHANGES)
+    tables = (document.DECREASE_WARNINGS, document.INCREASE_WARNINGS, document.CHANGE_WARNINGS)
     return [list(document.SECTIONS), *(json.dumps(table, sort_keys=True) for table in tables)]
 
 
--- a/tests/compatibility/forms_policy_page.py
+++ b/tests/compatibility/forms_policy_page.py
@@ -12,17 +12,17 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from petrelway.membership.service import FleetService, Listed
-from petrelway.policy import messages as words
-from petrelway.policy.policy_holder import Serving, Terms
-from petrelway.policy.policy_member import Party
-from petrelway.policy.raft import Role
+from petrelway.policy import log_entries, messages
+from petrelway.policy.policy_holder import PreparedPolicy, ServingState
+from petrelway.policy.policy_member import PolicyMember
+from petrelway.policy.raft_state import RaftRole
 from petrelway.policy.service import PolicyService
 
 TOPIC = "policy_page"
 MESSAGES_TOPIC = "policy_words"
 NAMES = ("front-0", "front-1", "front-2", "front-3", "front-4")
 TOKEN = 7
-OWN = Terms(0, "00ff", None)
+OWN = PreparedPolicy(0, "00ff", None)
 
 
 def make(document: str) -> tuple[Any, bool]:
@@ -50,8 +50,10 @@
     """Of a keeper that has just started."""
     keepers = NAMES[:3]
     found = service(keepers)
-    found.party = Party(0.0, NAMES[0], TOKEN, list(NAMES), keepers, OWN, make, words.Kept(False, 3))
-    return found.seen()
+    found.member = PolicyMember(
+        0.0, NAMES[0], TOKEN, list(NAMES), keepers, OWN, make, log_entries.PersistentState(False, 3)
+    )
+    return found.status()
 
 
 def member_page() -> dict[str, Any]:
@@ -59,11 +61,11 @@
     found = service(NAMES[1:4])
     found.startService()
     for _, tree in load(MESSAGES_TOPIC, "messages.json"):
-        said = words.read(msgspec.msgpack.encode(tree))
-        found.party.heard(found.now(), said.name, said.token, said.body)
+        said = messages.decode_message(msgspec.msgpack.encode(tree))
+        found.member.receive(found.now(), said.name, said.token, said.body)
         found.pull()
-    found.leaving()
-    return found.seen()
+    found.leave()
+    return found.status()
 
 
 def pages() -> list[list[Any]]:
@@ -73,7 +75,7 @@
 
 def states() -> list[list[str]]:
     """The words for a member's and a keeper's states."""
-    return [[state.value for state in Serving], [role.value for role in Role]]
+    return [[state.value for state in ServingState], [role.value for role in RaftRole]]
 
 
 FILES = {"pages.json": pages, "states.json": states}
--- a/tests/compatibility/forms_policy_store.py
+++ b/tests/compatibility/forms_policy_store.py
@@ -11,8 +11,7 @@
 import msgspec
 from forms_policy_files import FORMS, load
 
-from petrelway.policy import messages as words
-from petrelway.policy import raft_storage as store
+from petrelway.policy import log_entries, raft_storage
 
 TOPIC = "policy_store"
 FLEET, NAME = "gateway", "front-1"
@@ -20,14 +19,14 @@
 WHOLE_FILE = FORMS / TOPIC / "keeper.sqlite"  # after the last of the records
 
 
-def build(row: list[Any]) -> words.Kept:
+def build(row: list[Any]) -> log_entries.PersistentState:
     """A record of its values, by position."""
     *head, snapshot, entries = row
-    told = msgspec.json.decode(json.dumps(entries), type=tuple[words.Entry, ...])
-    return words.Kept(*head, snapshot.encode(), told)
+    told = msgspec.json.decode(json.dumps(entries), type=tuple[log_entries.LogEntry, ...])
+    return log_entries.PersistentState(*head, snapshot.encode(), told)
 
 
-def plain(kept: words.Kept) -> list[Any]:
+def plain(kept: log_entries.PersistentState) -> list[Any]:
     """The values of a record, by position."""
     *head, snapshot, entries = kept
     return [*head, snapshot.decode(), json.loads(msgspec.json.encode(entries))]
@@ -35,17 +34,17 @@
 
 def write_file(file: Path, records: int) -> None:
     """A new keeper's file that has been told the first records of the table."""
-    keeper = store.Store(str(file), FLEET, NAME)
+    keeper = raft_storage.RaftStorage(str(file), FLEET, NAME)
     for _, since, row in load(TOPIC, "records.json")[:records]:
-        keeper.keep(build(row), since)
+        keeper.persist(build(row), since)
     keeper.close()
 
 
 def read_file(file: Path) -> list[Any]:
     """What the code finds in a keeper's file."""
-    keeper = store.Store(str(file), FLEET, NAME)
+    keeper = raft_storage.RaftStorage(str(file), FLEET, NAME)
     keeper.close()
-    return plain(keeper.kept)
+    return plain(keeper.stored)
 
 
 def seen_by_sqlite(file: Path) -> list[Any]:
@@ -72,7 +71,7 @@
 
 def bounds() -> list[Any]:
     """What marks a file as a keeper's, and how many may be put aside."""
-    return [[store.APPLICATION_ID, store.FORMAT, store.ASIDE_BOUND]]
+    return [[raft_storage.APPLICATION_ID, raft_storage.FORMAT, raft_storage.MAX_FILES_PUT_ASIDE]]
 
 
 FILES = {"states.json": states, "bounds.json": bounds}
--- a/tests/compatibility/forms_policy_words.py
+++ b/tests/compatibility/forms_policy_words.py
@@ -13,12 +13,11 @@
 from forms_policy_files import load
 from msgspec import inspect
 
-from petrelway.policy import messages as words
-from petrelway.policy import state_machine as ledger
+from petrelway.policy import log_entries, messages, state_machine
 
 TOPIC = "policy_words"
 FRAME_HEADER_BYTES = 4
-MODULES = (words, ledger)
+MODULES = (log_entries, messages, state_machine)
 
 
 def plain_messages() -> list[list[Any]]:
@@ -28,8 +27,8 @@
 
 def rewritten(payload: bytes) -> bytes:
     """The frame that the code writes for the message that it reads in a payload."""
-    said = words.read(payload)
-    return words.write(said.fleet, said.name, said.token, said.body)
+    said = messages.decode_message(payload)
+    return messages.encode_message(said.fleet, said.name, said.token, said.body)
 
 
 def frames() -> list[list[Any]]:
@@ -41,7 +40,7 @@
     """Each message as JSON: the console takes and gives some of them so."""
     found = []
     for title, tree in plain_messages():
-        said = words.read(msgspec.msgpack.encode(tree))
+        said = messages.decode_message(msgspec.msgpack.encode(tree))
         found.append([title, msgspec.json.encode(said).decode()])
     return found
 
@@ -49,15 +48,15 @@
 def ledgers() -> list[list[Any]]:
     """Each ledger of the table as the bytes of a snapshot."""
     return [
-        [title, ledger.write(ledger.read(json.dumps(tree).encode())).decode()]
+        [title, state_machine.encode_state(state_machine.decode_state(json.dumps(tree).encode())).decode()]
         for title, tree in load(TOPIC, "ledger.json")
     ]
 
 
 def decoded() -> list[Any]:
     """The objects that all fixtures are read as."""
-    found: list[Any] = [words.read(msgspec.msgpack.encode(tree)) for _, tree in plain_messages()]
-    found += [ledger.read(text.encode()) for _, text in ledgers()]
+    found: list[Any] = [messages.decode_message(msgspec.msgpack.encode(tree)) for _, tree in plain_messages()]
+    found += [state_machine.decode_state(text.encode()) for _, text in ledgers()]
     return found
 
 
@@ -116,8 +115,14 @@
 def bounds() -> list[Any]:
     """The numbers that both ends must agree about."""
     return [
-        [words.VERSION, words.WORD_BOUND, words.DOCUMENT_BOUND, words.MEMBERS_BOUND, words.ENTRIES_MOST],
-        [ledger.VERSIONS_KEPT, ledger.DOCUMENTS_BOUND, ledger.SETTLED_KEPT],
+        [
+            messages.VERSION,
+            messages.MAX_MESSAGE_BYTES,
+            log_entries.MAX_DOCUMENT_LENGTH,
+            log_entries.MAX_MEMBERS,
+            messages.MAX_ENTRIES_PER_MESSAGE,
+        ],
+        [state_machine.MAX_VERSIONS, state_machine.MAX_TOTAL_DOCUMENT_LENGTH, state_machine.MAX_OUTCOMES],
     ]
 
 
--- a/tests/compatibility/forms_shared_hashes.py
+++ b/tests/compatibility/forms_shared_hashes.py
@@ -6,8 +6,8 @@
 
 from forms_policy_files import load
 
-from petrelway.policy.messages import Kept
-from petrelway.policy.raft import Keeper
+from petrelway.policy.log_entries import PersistentState
+from petrelway.policy.raft import RaftNode
 from petrelway.routing.hash_ring import HashRing, RingWindow
 from petrelway.routing.ranking import FunctionRank, shared_rank
 from petrelway.routing.router import Function
@@ -70,11 +70,11 @@
     """When a keeper that hears nobody asks for votes: keepers draw different times from their names."""
     found = []
     for name, token, term in load(TOPIC, "keepers.json"):
-        keeper = Keeper(0.0, name, (name, "other-1", "other-2"), token, Kept(False, term))
+        keeper = RaftNode(0.0, name, (name, "other-1", "other-2"), token, PersistentState(False, term))
         times = []
         for _ in range(ELECTIONS):
-            times.append(keeper.due_ms)
-            while keeper.decide(times[-1]) is not None:
+            times.append(keeper.timer_ms)
+            while keeper.next_action(times[-1]) is not None:
                 pass
         found.append([name, token, term, times])
     return found
--- a/tests/compatibility/test_compat_policy_store.py
+++ b/tests/compatibility/test_compat_policy_store.py
@@ -6,7 +6,7 @@
 from forms_policy_files import as_checked_in, load
 from forms_policy_store import FILES, FLEET, TOPIC, WHOLE_FILE, read_file, seen_by_sqlite, write_file
 
-from petrelway.policy.raft_storage import StorageError, Store
+from petrelway.policy.raft_storage import RaftStorage, StorageError
 
 RECORDS = load(TOPIC, "records.json")
 
@@ -35,7 +35,7 @@
 
 def test_a_file_of_another_member_is_put_aside_under_the_known_name(copied):
     with pytest.raises(StorageError, match=r"it is put aside as keeper\.sqlite\.aside-1$"):
-        Store(str(copied), FLEET, "front-2")
+        RaftStorage(str(copied), FLEET, "front-2")
     assert not copied.exists()
     assert copied.with_name("keeper.sqlite.aside-1").read_bytes() == WHOLE_FILE.read_bytes()
 
--- a/tests/compatibility/test_compat_policy_words.py
+++ b/tests/compatibility/test_compat_policy_words.py
@@ -14,8 +14,7 @@
     structs_within,
 )
 
-from petrelway.policy import messages as words
-from petrelway.policy import state_machine as ledger
+from petrelway.policy import messages, state_machine
 
 MESSAGES = dict(load(TOPIC, "messages.json"))
 
@@ -29,7 +28,7 @@
 
 @pytest.mark.parametrize("title, text", load(TOPIC, "texts.json"))
 def test_each_message_is_read_and_written_as_json(title, text):
-    said = words.read(msgspec.msgpack.encode(MESSAGES[title]))
+    said = messages.decode_message(msgspec.msgpack.encode(MESSAGES[title]))
     assert msgspec.json.decode(text, type=type(said)) == said
     assert msgspec.json.encode(said).decode() == text
 
@@ -37,7 +36,7 @@
 @pytest.mark.parametrize("title, text", load(TOPIC, "ledgers.json"))
 def test_each_ledger_is_read_and_written_as_checked_in(title, text):
     assert msgspec.json.decode(text) == dict(load(TOPIC, "ledger.json"))[title]
-    assert ledger.write(ledger.read(text.encode())).decode() == text
+    assert state_machine.encode_state(state_machine.decode_state(text.encode())).decode() == text
 
 
 def test_every_struct_is_pinned_with_each_optional_field_set():
--- a/tests/test_policy_process.py
+++ b/tests/test_policy_process.py
@@ -19,7 +19,7 @@
 from petrelway.fakes.scenario_processes import Plan
 from petrelway.invariants.policy_checker import judge
 from petrelway.invariants.records import read
-from petrelway.policy.raft_storage import Store
+from petrelway.policy.raft_storage import RaftStorage
 from petrelway.scenarios.runner import Ports, write_fronts, write_plan
 from petrelway.settings.days import check_day
 from petrelway.settings.reading import evaluate
@@ -399,8 +399,8 @@
     refused = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, timeout=30)
     assert refused.returncode == 2 and "front-" in refused.stderr and "aside-1" in refused.stderr
     os.rename(fleet.folder / "kept.copy", file)
-    kept = Store(file, "rehearsed", f"front-{other}")
-    assert not kept.kept.blank
+    kept = RaftStorage(file, "rehearsed", f"front-{other}")
+    assert not kept.stored.blank
     kept.close()
     fleet.start(other)
     fleet.until(lambda: "follows" in fleet.seen(other)["keeper"])
