--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -20,60 +20,64 @@
     record,
     request,
 )
-from petrelway.platform import client_codec as lines
-from petrelway.platform import discovery_codec as bus
-from petrelway.platform import executor_codec as frames
-from petrelway.platform.configuration import read_told
+from petrelway.platform import client_codec, discovery_codec, executor_codec
+from petrelway.platform.configuration import read_configuration
 from petrelway.platform.errors import ProtocolError
-from petrelway.platform.opaque_request import Passed
+from petrelway.platform.opaque_request import OpaqueRequest
 from petrelway.routing.types import Idempotency, Outcome, Warmth
 
 
-class Said:
-    """Ears for all codecs: what was said, in order."""
+class Recorder:
+    """A handler for all codecs: the calls, in order."""
 
     def __init__(self):
-        self.said = []
+        self.calls = []
 
     def __getattr__(self, name):
-        return lambda *what: self.said.append((name, *what))
+        return lambda *what: self.calls.append((name, *what))
 
 
-ASKS = lines.Asks([("safe", 4000.0, False), ("keyed", 4000.0, True)], ["acme", "bolt"])
+READER = client_codec.ClientMessageReader(
+    [("safe", 4000.0, False), ("keyed", 4000.0, True)], ["acme", "bolt"]
+)
 
 
 def read(line):
-    ears = Said()
-    ASKS.read(line, ears)
-    return ears.said
+    recorder = Recorder()
+    READER.read(line, recorder)
+    return recorder.calls
 
 
 def test_a_request_is_read_whole():
-    _, (name, number, passed, request_class, tenant, remaining, work, memory, lanes, load) = read(
+    _, (name, number, request_read, request_class, tenant, remaining, work, memory, lanes, load) = read(
         request(7, "keyed", org="bolt", extras="memory_mb:512;lanes:2;load_ms:900;other:1")
     )
-    assert (name, number, request_class, tenant, remaining) == ("asked", 7, 1, 1, 1500.0)
+    assert (name, number, request_class, tenant, remaining) == ("request_received", 7, 1, 1, 1500.0)
     assert (work, memory, lanes, load) == (8.2, 512.0, 2, 900.0)
-    assert (passed.call.hex(), passed.request_class, passed.function) == (CALL, "keyed", FUNCTION)
-    assert (passed.once, passed.body, len(passed)) == (ONCE, b"hello", 5)
-    _, (_, _, passed, _, _, _, work, memory, lanes, _) = read(
+    assert (request_read.request_id.hex(), request_read.request_class, request_read.function) == (
+        CALL,
+        "keyed",
+        FUNCTION,
+    )
+    assert (request_read.idempotency_key, request_read.body, len(request_read)) == (ONCE, b"hello", 5)
+    _, (_, _, request_read, _, _, _, work, memory, lanes, _) = read(
         request(1, bytes=None, work=None, extras=None)
     )  # a body may be empty, hints may be absent
-    assert (passed.body, work, memory, lanes) == (b"", 0.0, 0.0, 0)
+    assert (request_read.body, work, memory, lanes) == (b"", 0.0, 0.0, 0)
     every = bytes(range(256)) * 64  # 16 KiB of any bytes
     assert read(request(body=every))[1][2].body == every
 
 
 def test_other_messages():
     table = [
-        (b'{"jsonrpc":"2.0","id":3,"method":"check"}', [("checked", 3)]),
-        (b'{"jsonrpc":"2.0","id":3,"method":"check","params":{"deep":true}}', [("checked", 3)]),
+        (b'{"jsonrpc":"2.0","id":3,"method":"check"}', [("check_received", 3)]),
+        (b'{"jsonrpc":"2.0","id":3,"method":"check","params":{"deep":true}}', [("check_received", 3)]),
         (
             b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}' % CALL.encode(),
-            [("taken_back", None, bytes.fromhex(CALL))],
+            [("cancel_received", None, bytes.fromhex(CALL))],
         ),
-        (b'{"jsonrpc":"2.0","method":"interrupt","params":{"id":9}}', [("taken_back", 9, None)]),
-        (b'{"jsonrpc":"2.0","id":9,"method":"interrupt"}', [("taken_back", 9, None)]),
+        (b'{"jsonrpc":"2.0","method":"interrupt","params":{"id":9}}', [("cancel_received", 9, None)]),
+        (b'{"jsonrpc":"2.0","id":9,"method":"interrupt"}', [("cancel_received", 9, None)]),
     ]
     for line, said in table:
         assert read(line) == said, line
@@ -83,21 +87,26 @@
     """Each raises, says whose answer the error is, and whether the connection can go on."""
     whole = json.loads(request())
     table = [  # line, number, code, last
-        (b"\xff\xfe", None, lines.NOT_JSON, True),
-        (b"", None, lines.NOT_JSON, True),
-        (b"[" * 5000, None, lines.NOT_JSON, True),
-        (b'{"id":NaN}', None, lines.NOT_JSON, True),
-        (b"[1]", None, lines.NOT_A_REQUEST, True),
-        (b"7", None, lines.NOT_A_REQUEST, True),
-        (json.dumps({**whole, "jsonrpc": "1.0"}).encode(), None, lines.NOT_A_REQUEST, True),
-        (json.dumps({**whole, "params": [1]}).encode(), None, lines.NOT_A_REQUEST, True),
-        (json.dumps({**whole, "method": 4}).encode(), None, lines.NOT_A_REQUEST, True),
-        (request(None), None, lines.NOT_A_REQUEST, True),
-        (b'{"jsonrpc":"2.0","method":"interrupt"}', None, lines.BAD_PARAMS, False),
-        (request(1, "nobody"), 1, lines.NO_METHOD, False),
+        (b"\xff\xfe", None, client_codec.ErrorCode.PARSE_ERROR, True),
+        (b"", None, client_codec.ErrorCode.PARSE_ERROR, True),
+        (b"[" * 5000, None, client_codec.ErrorCode.PARSE_ERROR, True),
+        (b'{"id":NaN}', None, client_codec.ErrorCode.PARSE_ERROR, True),
+        (b"[1]", None, client_codec.ErrorCode.INVALID_REQUEST, True),
+        (b"7", None, client_codec.ErrorCode.INVALID_REQUEST, True),
+        (
+            json.dumps({**whole, "jsonrpc": "1.0"}).encode(),
+            None,
+            client_codec.ErrorCode.INVALID_REQUEST,
+            True,
+        ),
+        (json.dumps({**whole, "params": [1]}).encode(), None, client_codec.ErrorCode.INVALID_REQUEST, True),
+        (json.dumps({**whole, "method": 4}).encode(), None, client_codec.ErrorCode.INVALID_REQUEST, True),
+        (request(None), None, client_codec.ErrorCode.INVALID_REQUEST, True),
+        (b'{"jsonrpc":"2.0","method":"interrupt"}', None, client_codec.ErrorCode.INVALID_PARAMS, False),
+        (request(1, "nobody"), 1, client_codec.ErrorCode.METHOD_NOT_FOUND, False),
     ]
     for number in (0, -1, 1.5, 2**53, 10**30, "1", True, [1]):
-        table.append((request(number), None, lines.NOT_A_REQUEST, True))
+        table.append((request(number), None, client_codec.ErrorCode.INVALID_REQUEST, True))
     odd = {
         "call": (None, "", "9b1f", CALL.upper(), CALL + "0", 7, "g" * 16, CALL + "\n"),
         "row": (None, "x", 5, FUNCTION + "0"),
@@ -121,16 +130,16 @@
     }
     for name, values in odd.items():
         for value in values:
-            table.append((request(4, **{name: value}), 4, lines.BAD_PARAMS, False))
-    table.append((request(4, "keyed", dedupe=None), 4, lines.BAD_PARAMS, False))
+            table.append((request(4, **{name: value}), 4, client_codec.ErrorCode.INVALID_PARAMS, False))
+    table.append((request(4, "keyed", dedupe=None), 4, client_codec.ErrorCode.INVALID_PARAMS, False))
     for line, number, code, last in table:
-        with pytest.raises(lines.ClientLineError) as caught:
+        with pytest.raises(client_codec.ClientLineError) as caught:
             read(line)
         fault = caught.value
-        if fault.code == lines.NOT_JSON and code == lines.BAD_PARAMS:
+        if fault.code == client_codec.ErrorCode.PARSE_ERROR and code == client_codec.ErrorCode.INVALID_PARAMS:
             continue  # numbers that no JSON reader takes
-        assert (fault.number, fault.code, fault.last) == (number, code, last), line[:80]
-        told = json.loads(lines.faulted(fault))
+        assert (fault.number, fault.code, fault.ends_connection) == (number, code, last), line[:80]
+        told = json.loads(client_codec.error_line(fault))
         assert told["id"] == number and told["error"]["code"] == code
 
 
@@ -138,48 +147,48 @@
     whole = request(1) + b'{"jsonrpc":"2.0","id":2,"method":"check"}\r\n' + request(3)
     expected = [line.rstrip(b"\r") for line in whole.split(b"\n")[:-1]]
     for at in range(len(whole)):
-        reader, found = lines.Lines(), []
+        reader, found = client_codec.LineBuffer(), []
         for part in (whole[:at], whole[at:]):
             reader.feed(part)
-            while (line := reader.next()) is not None:
+            while (line := reader.next_line()) is not None:
                 found.append(line)
-        assert found == expected and not reader.half()
+        assert found == expected and not reader.has_partial_line()
 
 
 def test_a_line_past_the_bound_is_not_collected():
     for data in (b"x" * 11, b"x" * 11 + b"\n", b"ok\n" + b"x" * 11):
-        reader = lines.Lines(10)
+        reader = client_codec.LineBuffer(10)
         reader.feed(data)
-        with pytest.raises(lines.ClientLineError) as caught:
-            while reader.next() is not None:
+        with pytest.raises(client_codec.ClientLineError) as caught:
+            while reader.next_line() is not None:
                 pass
-        assert caught.value.last
-    assert lines.LINE_BOUND < 32_768  # a few of them are all that a connection may hold
+        assert caught.value.ends_connection
+    assert client_codec.LINE_BOUND < 32_768  # a few of them are all that a connection may hold
 
 
 def test_answers_are_json():
-    assert json.loads(lines.succeeded(7, b"\x00\xff")) == {
+    assert json.loads(client_codec.success_line(7, b"\x00\xff")) == {
         "jsonrpc": "2.0",
         "id": 7,
         "result": {"bytes": "AP8="},
     }
-    assert json.loads(lines.rejected(7, 0.0))["error"] == {"code": -32014, "message": "nacked"}
-    assert json.loads(lines.rejected(7, 199.2))["error"]["data"] == {"pushback": 200}
-    assert json.loads(lines.failed(7))["error"]["code"] not in (-32014,)
-    assert json.loads(lines.serving(3, True))["result"] == {"serving": True}
+    assert json.loads(client_codec.rejection_line(7, 0.0))["error"] == {"code": -32014, "message": "nacked"}
+    assert json.loads(client_codec.rejection_line(7, 199.2))["error"]["data"] == {"pushback": 200}
+    assert json.loads(client_codec.failure_line(7))["error"]["code"] not in (-32014,)
+    assert json.loads(client_codec.check_line(3, True))["result"] == {"serving": True}
 
 
 ID = bytes.fromhex(CALL)
-SAID = [
-    ("answered", ID, Outcome.SUCCEEDED, Warmth.FOUND, 3, 0, b"body"),
-    ("answered", ID, Outcome.MISS, Warmth.UNTOLD, 0, 0, b""),
-    ("answered", ID, Outcome.FULL, Warmth.UNTOLD, 0, 1, b""),
-    ("answered", ID, Outcome.ERROR, Warmth.LOAD_FAILED, 0, 0, b""),
-    ("answered", ID, Outcome.UNSENT, Warmth.UNTOLD, 0, 0, b""),
-    ("probed", ID, True),
-    ("probed", ID, False),
+ANSWERS = [
+    ("answer_received", ID, Outcome.SUCCEEDED, Warmth.FOUND, 3, 0, b"body"),
+    ("answer_received", ID, Outcome.MISS, Warmth.UNTOLD, 0, 0, b""),
+    ("answer_received", ID, Outcome.FULL, Warmth.UNTOLD, 0, 1, b""),
+    ("answer_received", ID, Outcome.ERROR, Warmth.LOAD_FAILED, 0, 0, b""),
+    ("answer_received", ID, Outcome.UNSENT, Warmth.UNTOLD, 0, 0, b""),
+    ("probe_answer_received", ID, True),
+    ("probe_answer_received", ID, False),
 ]
-BYTES = (
+ANSWER_BYTES = (
     answer(100, ID, b"how=resident,crowd=3", b"body")
     + answer(102, ID)
     + answer(103, ID, b"count=1")
@@ -191,17 +200,17 @@
 
 
 def test_frames_split_at_every_byte():
-    for at in range(len(BYTES)):
-        ears = Said()
-        reader = frames.Frames(ears)
-        reader.feed(BYTES[:at])
-        reader.feed(BYTES[at:])
-        assert ears.said == SAID and not reader.half(), at
-    ears = Said()
-    reader = frames.Frames(ears)
-    for i in range(len(BYTES)):
-        reader.feed(BYTES[i : i + 1])
-    assert ears.said == SAID
+    for at in range(len(ANSWER_BYTES)):
+        recorder = Recorder()
+        reader = executor_codec.ExecutorFrameReader(recorder)
+        reader.feed(ANSWER_BYTES[:at])
+        reader.feed(ANSWER_BYTES[at:])
+        assert recorder.calls == ANSWERS and not reader.has_partial_frame(), at
+    recorder = Recorder()
+    reader = executor_codec.ExecutorFrameReader(recorder)
+    for i in range(len(ANSWER_BYTES)):
+        reader.feed(ANSWER_BYTES[i : i + 1])
+    assert recorder.calls == ANSWERS
 
 
 def test_frames_that_cannot_be_read():
@@ -219,27 +228,27 @@
         b"HTTP/1.1 200 OK\r\n\r\n",
     ]
     for data in table:
-        reader = frames.Frames(Said())
+        reader = executor_codec.ExecutorFrameReader(Recorder())
         with pytest.raises(ProtocolError):
             reader.feed(data)
-        assert len(reader.held) < 1024  # nothing was collected for it
+        assert len(reader.buffered) < 1024  # nothing was collected for it
 
 
 def test_commands_are_what_the_page_says():
-    passed = Passed(ID, "keyed", FUNCTION, ONCE, b"\x00body")
+    passed = OpaqueRequest(ID, "keyed", FUNCTION, ONCE, b"\x00body")
     table = [
         (
-            frames.send(passed, 1499.9),
+            executor_codec.encode_send(passed, 1499.9),
             (10, ID, {"class": "keyed", "key": FUNCTION, "wait": "1499", "once": ONCE}, b"\x00body"),
         ),
         (
-            frames.send(Passed(ID, "safe", FUNCTION, "", b""), 0.2),
+            executor_codec.encode_send(OpaqueRequest(ID, "safe", FUNCTION, "", b""), 0.2),
             (10, ID, {"class": "safe", "key": FUNCTION, "wait": "1"}, b""),
         ),
-        (frames.cancel_attempt(ID), (11, ID, {}, b"")),
-        (frames.probe(ID), (12, ID, {}, b"")),
-        (frames.order(ID, FUNCTION, 2), (14, ID, {"key": FUNCTION, "count": "2"}, b"")),
-        (frames.unload(FUNCTION), (16, bytes.fromhex(FUNCTION), {}, b"")),
+        (executor_codec.encode_cancel(ID), (11, ID, {}, b"")),
+        (executor_codec.encode_probe(ID), (12, ID, {}, b"")),
+        (executor_codec.encode_load_request(ID, FUNCTION, 2), (14, ID, {"key": FUNCTION, "count": "2"}, b"")),
+        (executor_codec.encode_unload(FUNCTION), (16, bytes.fromhex(FUNCTION), {}, b"")),
     ]
     for data, expected in table:
         assert commands(data) == [expected]
@@ -254,20 +263,25 @@
     first = EndpointEntry("s-00c41f7a", "127.0.0.1", 8443, "east", "std", 3, "ready", 1.0, 0.0)
     second = EndpointEntry("s-00000002", "127.0.0.1", 8444, "west", "std", 3, "draining", 1.5, 12.0)
     expected = [
-        ("listed", 1, True, [first, second]),
-        ("nothing_new", 1),
-        ("listed", 2, False, [second._replace(stage="gone", zone="east", weight=1.0, started_ms=0.0)]),
+        ("endpoints_received", 1, True, [first, second]),
+        ("heartbeat_received", 1),
+        (
+            "endpoints_received",
+            2,
+            False,
+            [second._replace(stage="gone", zone="east", weight=1.0, started_ms=0.0)],
+        ),
     ]
     for at in range(len(whole)):
-        ears = Said()
-        reader = bus.Bus(["east", "west"], ["std"], ears)
+        recorder = Recorder()
+        reader = discovery_codec.DiscoveryEventReader(["east", "west"], ["std"], recorder)
         reader.feed(whole[:at])
         reader.feed(whole[at:])
-        assert ears.said == expected
+        assert recorder.calls == expected
 
 
 def test_events_that_cannot_be_read():
-    endless = struct.pack(">IQB", 9 + 27 * (bus.RECORDS_BOUND + 1), 1, 1)
+    endless = struct.pack(">IQB", 9 + 27 * (discovery_codec.RECORDS_BOUND + 1), 1, 1)
     for data in (
         endless,
         event(1, 3),
@@ -277,27 +291,32 @@
         event(1, 1, record(1, 1, state=3)),
         event(1, 1, record(1, 1, zone=9)),
     ):
-        reader = bus.Bus(["east"], ["std"], Said())
+        reader = discovery_codec.DiscoveryEventReader(["east"], ["std"], Recorder())
         with pytest.raises(ProtocolError):
             reader.feed(data)
-    assert bus.resume(41) == b"\x00" * 7 + b"\x29"
+    assert discovery_codec.encode_resume(41) == b"\x00" * 7 + b"\x29"
 
 
 def test_known_is_the_same_calls():
-    ears = Said()
-    reader = bus.Bus(["east"], ["std"], ears)
-    reader.known(known((0xC41F7A, 8443), offset=41))
+    recorder = Recorder()
+    reader = discovery_codec.DiscoveryEventReader(["east"], ["std"], recorder)
+    reader.read_initial_events(known((0xC41F7A, 8443), offset=41))
     place = EndpointEntry("s-00c41f7a", "127.0.0.1", 8443, "east", "std", 2, "ready", 4.0, 0.0)
-    assert ears.said == [("listed", 41, True, [place]), ("nothing_new", 41)]
+    assert recorder.calls == [("endpoints_received", 41, True, [place]), ("heartbeat_received", 41)]
     good = known((1, 1))
     for spoil in (None, [], {"offset": 1}, {**good, "batch": [{}]}, {**good, "offset": None}):
         with pytest.raises(ProtocolError):
-            reader.known(spoil)
+            reader.read_initial_events(spoil)
 
 
 def test_configuration():
-    told = read_told(configuration())
-    assert (told.name, told.address, told.port, told.bus) == ("n0", "127.0.0.1", 8443, ("127.0.0.1", 7070))
+    told = read_configuration(configuration())
+    assert (told.name, told.address, told.port, told.event_bus) == (
+        "n0",
+        "127.0.0.1",
+        8443,
+        ("127.0.0.1", 7070),
+    )
     assert (told.seed, told.sockets) == (0x8C1F30D27A5BE964, 256)
     assert [t.idempotency for t in told.terms.request_classes] == [
         Idempotency.IDEMPOTENT,
@@ -320,7 +339,7 @@
     ]
     for data, where in table:
         with pytest.raises(ProtocolError, match=where):
-            read_told(data)
+            read_configuration(data)
 
 
 def without(told, *path):
--- a/tests/test_settled_closes.py
+++ b/tests/test_settled_closes.py
@@ -80,5 +80,5 @@
         assert codes == {1: -32014, 2: -32014, 3: -32010}
         assert sorted(h["id"] for h in heard if h["id"] in (1, 2, 3)) == [1, 2, 3]
         events = n.events()
-    assert events[-1]["links"].get("answers to no question", 0) == 0
+    assert events[-1]["executors"].get("unmatched answers", 0) == 0
     assert sorted(holder.requests()) == [f"{number:016x}" for number in (1, 2, 3)]
