--- a/petrelway/node/client_connection.py
+++ b/petrelway/node/client_connection.py
@@ -13,8 +13,9 @@
 from twisted.python.failure import Failure
 
 from ..gateway.dispatcher import REJECTED, SUCCEEDED, Answer, PendingAnswer
-from ..platform import client_codec
-from ..platform.client_codec import ClientLineError, ErrorCode
+from ..platform import client_answers
+from ..platform.client_answers import ClientLineError, ErrorCode
+from ..platform.client_codec import LineBuffer
 from ..platform.opaque_request import OpaqueRequest
 from .connection_state import OPEN_REQUESTS_BOUND, ClientConnectionState, CloseReason, Phase
 
@@ -36,7 +37,7 @@
     def __init__(self, listener: ClientListener) -> None:
         """Start reading at the given listener."""
         self.listener = listener
-        self.lines = client_codec.LineBuffer()
+        self.lines = LineBuffer()
         self.state = ClientConnectionState(listener.now())
         self.answers: dict[int, PendingAnswer] = {}  # by request number
         self.paused = False  # not read from until the others had their turn
@@ -161,7 +162,7 @@
         retry_ms = self._rejection_retry_ms(tenant)
         if retry_ms is not None:
             listener.counts["rejected before admission"] += 1
-            self.transport.write(client_codec.rejection_line(number, retry_ms))
+            self.transport.write(client_answers.rejection_line(number, retry_ms))
             return
         answer = listener.submit(
             request, request_class, tenant, remaining_ms, cost_ms, memory_mb, concurrency, load_ms
@@ -205,7 +206,7 @@
 
     def check_received(self, number: int) -> None:
         """Answer whether this front end serves."""
-        self.transport.write(client_codec.check_line(number, self.listener.is_serving()))
+        self.transport.write(client_answers.check_line(number, self.listener.is_serving()))
 
     # -- answers
 
@@ -219,11 +220,11 @@
         if self.state.phase is Phase.CLOSED:
             return
         if answer.kind == SUCCEEDED:
-            self.transport.write(client_codec.success_line(number, answer.body))
+            self.transport.write(client_answers.success_line(number, answer.body))
         elif answer.kind == REJECTED:
-            self.transport.write(client_codec.rejection_line(number, answer.retry_ms))
+            self.transport.write(client_answers.rejection_line(number, answer.retry_ms))
         else:
-            self.transport.write(client_codec.failure_line(number))
+            self.transport.write(client_answers.failure_line(number))
         self._close_if_settled()
         self.close_if_drained()
 
@@ -231,7 +232,7 @@
         self._request_ended(number)
         if not failure.check(defer.CancelledError) and self.state.phase is not Phase.CLOSED:
             self.listener.log.error("answer failed", error=failure.getErrorMessage())
-            self.transport.write(client_codec.failure_line(number))
+            self.transport.write(client_answers.failure_line(number))
         self._close_if_settled()
         self.close_if_drained()
 
@@ -239,7 +240,7 @@
         """Answer a wrong line with its error; the connection ends if that was one too many."""
         reason = self.state.error_found(error.ends_connection)
         self.listener.line_rejected(error)
-        self.transport.write(client_codec.error_line(error))
+        self.transport.write(client_answers.error_line(error))
         if reason is not None:
             self.end(reason)
 
--- a/petrelway/node/client_listener.py
+++ b/petrelway/node/client_listener.py
@@ -11,8 +11,9 @@
 
 from twisted.internet import defer, interfaces, protocol
 
-from ..platform import client_codec
-from ..platform.client_codec import ClientLineError, ErrorCode
+from ..platform import client_answers
+from ..platform.client_answers import ClientLineError, ErrorCode
+from ..platform.client_codec import ClientMessageReader
 from ..platform.opaque_request import OpaqueRequest
 from .client_connection import ClientConnectionProtocol
 from .connection_state import CloseReason, Phase
@@ -32,7 +33,7 @@
 
     def __init__(
         self,
-        reader: client_codec.ClientMessageReader,
+        reader: ClientMessageReader,
         submit: SubmitRequest,
         rejection_retry_ms: Callable[[int], float | None],
         is_serving: Callable[[], bool],
@@ -163,7 +164,7 @@
             reason = connection.timeout_reason(now)
             if reason is CloseReason.PARTIAL_LINE:
                 error = ClientLineError(None, ErrorCode.INVALID_REQUEST, reason)
-                connection.transport.write(client_codec.error_line(error))
+                connection.transport.write(client_answers.error_line(error))
             if reason is not None:
                 connection.end(reason)
 
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -18,9 +18,9 @@
 from ..daemon.shedding import Shedder
 from ..gateway.dispatcher import Function, Host, PendingAnswer
 from ..gateway.outgoing_connections import connector
-from ..membership.service import FleetService, Listed, new_token
+from ..membership.service import FleetService
 from ..platform.client_codec import ClientMessageReader
-from ..platform.configuration import Configuration, Endpoint, read_peers
+from ..platform.configuration import Configuration, Endpoint
 from ..platform.opaque_request import OpaqueRequest
 from ..routing.types import Idempotency
 from ..sockets.descriptors import available_descriptors
@@ -28,9 +28,11 @@
 from .admission import AdmissionControl, DescriptorShares, share_descriptors
 from .client_listener import ClientListener
 from .configuration_reload import ConfigurationReloader
+from .connection_set import ConnectionBudget
 from .discovery import DiscoveryClient
-from .executor_pool import ConnectionBudget, ExecutorPool
+from .executor_pool import ExecutorPool
 from .lifecycle import GracefulShutdown
+from .peers import start_membership
 
 BACKLOG = 512  # connections that wait in the system's queue
 DEFAULT_CONNECT_TIMEOUT_MS = 1000.0
@@ -197,30 +199,9 @@
         )
 
     def join_peers(self) -> None:
-        """Join the other front ends, if that is wanted and permitted.
-
-        Only datagrams lead to them here, so no member can be proved dead: members are seen, but the quota of
-        this front end stays its own share.
-        """
-        if not self.wants_peers:
-            return
-        peers = read_peers(self.read())
-        if peers is None:
-            return
-        members = [Listed(str(endpoint), *endpoint) for endpoint in peers.peers]
-        own_entry = Listed(members[peers.number].name, *peers.listen)
-        seed = f"{self.configuration.seed}/{self.configuration.name}/members"
-        self.membership = FleetService(
-            self.reactor,
-            own_entry,
-            "platform",
-            members,
-            new_token(),
-            random.Random(seed),
-            self.log,
-            None,
-        )
-        self.membership.startService()
+        """Join the other front ends, if that is wanted and permitted."""
+        if self.wants_peers:
+            self.membership = start_membership(self.reactor, self.configuration, self.read, self.log)
 
     # -- the endpoint list
 
--- a/petrelway/platform/client_codec.py
+++ b/petrelway/platform/client_codec.py
@@ -1,4 +1,4 @@
-"""Client lines: JSON-RPC 2.0, one message a line, without I/O. Bytes to calls of a handler, answers to bytes.
+"""Client lines: JSON-RPC 2.0, one message a line, without I/O. Bytes to calls of a handler.
 
 `node/client_connection.py` feeds it. Strict, since one front end meets clients of every kind: a line that is
 not exactly as the protocol says raises and is never admitted. Times in ms. Source: the platform's protocol
@@ -7,17 +7,15 @@
 
 from __future__ import annotations
 
-import json
 import math
 import re
 from binascii import Error as Base64Error
-from binascii import a2b_base64, b2a_base64
-from enum import IntEnum
+from binascii import a2b_base64
 from typing import Any, NamedTuple, Protocol
 
 import msgspec
 
-from .errors import ProtocolError
+from .client_answers import ClientLineError, ErrorCode
 from .opaque_request import OpaqueRequest
 
 BODY_BOUND = 16 * 1024  # bytes of a request's body
@@ -35,32 +33,6 @@
 _decode = msgspec.json.Decoder().decode
 
 
-class ErrorCode(IntEnum):
-    """Codes of error answers: JSON-RPC's own, and the platform's two."""
-
-    PARSE_ERROR = -32700
-    INVALID_REQUEST = -32600
-    METHOD_NOT_FOUND = -32601
-    INVALID_PARAMS = -32602
-    REJECTED = -32014
-    FAILED = -32010
-
-
-class ClientLineError(ProtocolError):
-    """A line that is not admitted.
-
-    `number` None: it is not known which request the error would answer. `ends_connection`: the connection
-    can't go on, since what follows could not be told apart.
-    """
-
-    def __init__(self, number: int | None, code: ErrorCode, text: str, ends_connection: bool = False) -> None:
-        """Take the number and code of the answer, and its text."""
-        super().__init__(text)
-        self.number = number
-        self.code = code
-        self.ends_connection = ends_connection
-
-
 class ClientMessageHandler(Protocol):
     """Receives the messages of one client, in order."""
 
@@ -312,42 +284,3 @@
     if concurrency > CONCURRENCY_BOUND or concurrency != int(concurrency):
         raise _invalid_params(number, "extras: lanes is no number of lanes")
     return ExtraHints(amounts.get("memory_mb", 0.0), int(concurrency), amounts.get("load_ms", 0.0))
-
-
-def success_line(number: int, body: bytes) -> bytes:
-    """Encode the answer of a request that succeeded.
-
-    >>> success_line(7, b"ok")
-    b'{"jsonrpc":"2.0","id":7,"result":{"bytes":"b2s="}}\\n'
-    """
-    return b'{"jsonrpc":"2.0","id":%d,"result":{"bytes":"%b"}}\n' % (number, b2a_base64(body, newline=False))
-
-
-def rejection_line(number: int, retry_ms: float) -> bytes:
-    """Encode a rejection; `retry_ms` 0: without a Retry-After time.
-
-    >>> rejection_line(7, 200.4)
-    b'{"jsonrpc":"2.0","id":7,"error":{"code":-32014,"message":"nacked","data":{"pushback":201}}}\\n'
-    """
-    data = b',"data":{"pushback":%d}' % math.ceil(retry_ms) if retry_ms > 0.0 else b""
-    fields = (number, ErrorCode.REJECTED, data)
-    return b'{"jsonrpc":"2.0","id":%d,"error":{"code":%d,"message":"nacked"%b}}\n' % fields
-
-
-def failure_line(number: int) -> bytes:
-    """Encode the answer of a request that failed and may have run."""
-    fields = (number, ErrorCode.FAILED)
-    return b'{"jsonrpc":"2.0","id":%d,"error":{"code":%d,"message":"broken off"}}\n' % fields
-
-
-def error_line(error: ClientLineError) -> bytes:
-    """Encode the error of a line that was not admitted."""
-    number = b"null" if error.number is None else b"%d" % error.number
-    text = json.dumps(str(error)).encode()
-    return b'{"jsonrpc":"2.0","id":%b,"error":{"code":%d,"message":%b}}\n' % (number, error.code, text)
-
-
-def check_line(number: int, serving: bool) -> bytes:
-    """Encode the answer to a `check`."""
-    text = b"true" if serving else b"false"
-    return b'{"jsonrpc":"2.0","id":%d,"result":{"serving":%b}}\n' % (number, text)
--- a/tests/compatibility/forms_platform.py
+++ b/tests/compatibility/forms_platform.py
@@ -11,7 +11,7 @@
 from wire_form_cases import Recorder, plain
 
 from petrelway.fakes import platform_peers as standin
-from petrelway.platform import client_codec, discovery_codec, executor_codec
+from petrelway.platform import client_answers, client_codec, discovery_codec, executor_codec
 from petrelway.platform.configuration import Configuration, read_configuration, read_peers
 from petrelway.platform.opaque_request import OpaqueRequest
 
@@ -54,12 +54,12 @@
 
 def _line_answers() -> dict[str, bytes]:
     return {
-        "fulfilled": client_codec.success_line(7, b"\x00\xff"),
-        "nacked": client_codec.rejection_line(7, 0.0),
-        "nacked.retry": client_codec.rejection_line(7, 199.2),
-        "broken-off": client_codec.failure_line(7),
-        "serving": client_codec.check_line(3, True),
-        "not-serving": client_codec.check_line(3, False),
+        "fulfilled": client_answers.success_line(7, b"\x00\xff"),
+        "nacked": client_answers.rejection_line(7, 0.0),
+        "nacked.retry": client_answers.rejection_line(7, 199.2),
+        "broken-off": client_answers.failure_line(7),
+        "serving": client_answers.check_line(3, True),
+        "not-serving": client_answers.check_line(3, False),
     }
 
 
@@ -113,8 +113,8 @@
     heard = Recorder()
     try:
         READER.read(text.encode(), heard)
-    except client_codec.ClientLineError as fault:
-        return [plain(heard.calls), client_codec.error_line(fault).decode(), fault.ends_connection]
+    except client_answers.ClientLineError as fault:
+        return [plain(heard.calls), client_answers.error_line(fault).decode(), fault.ends_connection]
     return [[[_values(each) for each in call] for call in heard.calls]]
 
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -28,7 +28,7 @@
 from petrelway.gateway.service import FrontEndService
 from petrelway.membership import messages as words
 from petrelway.membership.messages import Kind, News, Start, State, Word, digest
-from petrelway.node import service as node_service
+from petrelway.node import peers as node_peers
 from petrelway.node.service import NodeService
 from petrelway.platform.configuration import read_configuration
 
@@ -165,7 +165,7 @@
 @pytest.fixture(autouse=True)
 def known_token(monkeypatch):
     """The system's own random source, which no test can hold, gives the plan's token."""
-    for module in (front_service, node_service):
+    for module in (front_service, node_peers):
         monkeypatch.setattr(module, "new_token", lambda: PLAN.token(ME))
 
 
--- a/tests/test_node_door.py
+++ b/tests/test_node_door.py
@@ -9,7 +9,7 @@
 from petrelway.node import client_connection, client_listener, connection_state
 from petrelway.node.client_listener import ClientListener
 from petrelway.node.connection_state import CloseReason
-from petrelway.platform import client_codec
+from petrelway.platform import client_answers, client_codec
 
 READER = client_codec.ClientMessageReader(
     [("safe", 4000.0, False), ("keyed", 4000.0, True)], ["acme", "bolt"]
@@ -110,8 +110,8 @@
     client, pipe = rig.client()
     client.dataReceived(request(1, call=call(1)) + request(2, call="xyz") + request(3, "nobody"))
     assert [(s["id"], s["error"]["code"]) for s in said(pipe)] == [
-        (2, client_codec.ErrorCode.INVALID_PARAMS),
-        (3, client_codec.ErrorCode.METHOD_NOT_FOUND),
+        (2, client_answers.ErrorCode.INVALID_PARAMS),
+        (3, client_answers.ErrorCode.METHOD_NOT_FOUND),
     ]
     assert len(rig.submitted) == 1 and not pipe.closed
     for i in range(connection_state.ERRORS_BOUND):  # one that keeps on is closed
@@ -122,7 +122,7 @@
     assert said(pipe)[-1] == {
         "jsonrpc": "2.0",
         "id": 1,
-        "error": {"code": client_codec.ErrorCode.FAILED, "message": "broken off"},
+        "error": {"code": client_answers.ErrorCode.FAILED, "message": "broken off"},
     }
 
 
@@ -193,7 +193,7 @@
     client.dataReceived(request(1, call=call(1)))
     client.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{}}\n')
     (heard,) = said(pipe)
-    assert heard["id"] is None and heard["error"]["code"] == client_codec.ErrorCode.INVALID_PARAMS
+    assert heard["id"] is None and heard["error"]["code"] == client_answers.ErrorCode.INVALID_PARAMS
     client.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}\n' % call(9).encode())
     assert not pipe.closed and not rig.cancelled and pipe.take() == b""
     rig.submitted[0][1].callback(Answer(SUCCEEDED, body=b"ok"))
@@ -207,7 +207,7 @@
     bad, bad_pipe = rig.client()
     bad.dataReceived(request(1, call=CALL, body=b"other"))
     assert (
-        said(bad_pipe)[0]["error"]["code"] == client_codec.ErrorCode.INVALID_PARAMS
+        said(bad_pipe)[0]["error"]["code"] == client_answers.ErrorCode.INVALID_PARAMS
         and not rig.cancelled
         and not bad_pipe.closed
     )
@@ -364,7 +364,7 @@
     client.dataReceived(request(3, call=call(3)))
     assert len(rig.submitted) == 2
     assert said(pipe)[-1]["error"] == {
-        "code": client_codec.ErrorCode.REJECTED,
+        "code": client_answers.ErrorCode.REJECTED,
         "message": "nacked",
         "data": {"pushback": 200},
     }
--- a/tests/test_node_links.py
+++ b/tests/test_node_links.py
@@ -5,8 +5,9 @@
 from doubles import Log, Net, clock, lost
 
 from petrelway.fakes.platform_peers import CALL, FUNCTION, answer, commands
-from petrelway.node import executor_connection, executor_pool
-from petrelway.node.executor_pool import ConnectionBudget, ExecutorPool
+from petrelway.node import connection_set, executor_connection, executor_pool
+from petrelway.node.connection_set import ConnectionBudget
+from petrelway.node.executor_pool import ExecutorPool
 from petrelway.platform.opaque_request import OpaqueRequest
 from petrelway.routing.types import Outcome
 
@@ -131,7 +132,7 @@
     assert rig.log.events() == ["link down"]
     rig.step(300)
     connection, pipe = rig.up()
-    rig.step(2 * executor_pool.SWEEP_INTERVAL_MS)
+    rig.step(2 * connection_set.SWEEP_INTERVAL_MS)
     assert rig.log.events() == ["link down", "link up"]
     rig.send(3)
     connection.connectionLost(lost())
@@ -230,7 +231,7 @@
     rig.step(executor_pool.SILENCE_TIMEOUT_MS + 50)
     assert rig.pool.cancel_attempt((3, 0), Outcome.TIMEOUT) is Outcome.TIMEOUT
     assert up[1][1].closed  # silent since it was used; nothing else is out on it
-    rig.step(executor_pool.SWEEP_INTERVAL_MS + 10)
+    rig.step(connection_set.SWEEP_INTERVAL_MS + 10)
     while rig.net.dialled:
         rig.net.refuse()
     rig.send(4)
@@ -264,9 +265,9 @@
     connection, pipe = rig.up()
     rig.send(1)
     connection.pauseProducing()
-    rig.step(executor_pool.CLOGGED_MS - 100)
+    rig.step(connection_set.CLOGGED_MS - 100)
     assert not pipe.closed
-    rig.step(executor_pool.SWEEP_INTERVAL_MS + 150)
+    rig.step(connection_set.SWEEP_INTERVAL_MS + 150)
     assert pipe.aborted and rig.ended() == [((1, 0), Outcome.RESET)]
 
 
@@ -358,7 +359,7 @@
         while rig.net.dialled:
             dials += 1
             connection, _ = rig.up()
-            rig.step(executor_pool.SWEEP_INTERVAL_MS - 10)
+            rig.step(connection_set.SWEEP_INTERVAL_MS - 10)
             connection.connectionLost(lost())
         rig.step(20)
     assert 3 < dials < 25 and rig.log.events() == ["link down"], dials
@@ -373,10 +374,10 @@
                 answer(100, call(serial)) if call(serial) in connection.open_attempts else b""
             )
     assert rig.budget.used == 5
-    rig.step(executor_pool.SPARE_IDLE_TIMEOUT_MS + 600)
+    rig.step(connection_set.SPARE_IDLE_TIMEOUT_MS + 600)
     assert rig.budget.used == 1 and not rig.net.dialled and sum(not pipe.closed for _, pipe in up) == 1
     rig.step(
-        executor_pool.IDLE_SHARE * 30_000.0 - executor_pool.SPARE_IDLE_TIMEOUT_MS
+        connection_set.IDLE_SHARE * 30_000.0 - connection_set.SPARE_IDLE_TIMEOUT_MS
     )  # before the executor's own time
     assert all(pipe.closed for _, pipe in up) and len(rig.net.dialled) == 1
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -20,7 +20,7 @@
     record,
     request,
 )
-from petrelway.platform import client_codec, discovery_codec, executor_codec
+from petrelway.platform import client_answers, client_codec, discovery_codec, executor_codec
 from petrelway.platform.configuration import read_configuration
 from petrelway.platform.errors import ProtocolError
 from petrelway.platform.opaque_request import OpaqueRequest
@@ -87,26 +87,26 @@
     """Each raises, says whose answer the error is, and whether the connection can go on."""
     whole = json.loads(request())
     table = [  # line, number, code, last
-        (b"\xff\xfe", None, client_codec.ErrorCode.PARSE_ERROR, True),
-        (b"", None, client_codec.ErrorCode.PARSE_ERROR, True),
-        (b"[" * 5000, None, client_codec.ErrorCode.PARSE_ERROR, True),
-        (b'{"id":NaN}', None, client_codec.ErrorCode.PARSE_ERROR, True),
-        (b"[1]", None, client_codec.ErrorCode.INVALID_REQUEST, True),
-        (b"7", None, client_codec.ErrorCode.INVALID_REQUEST, True),
+        (b"\xff\xfe", None, client_answers.ErrorCode.PARSE_ERROR, True),
+        (b"", None, client_answers.ErrorCode.PARSE_ERROR, True),
+        (b"[" * 5000, None, client_answers.ErrorCode.PARSE_ERROR, True),
+        (b'{"id":NaN}', None, client_answers.ErrorCode.PARSE_ERROR, True),
+        (b"[1]", None, client_answers.ErrorCode.INVALID_REQUEST, True),
+        (b"7", None, client_answers.ErrorCode.INVALID_REQUEST, True),
         (
             json.dumps({**whole, "jsonrpc": "1.0"}).encode(),
             None,
-            client_codec.ErrorCode.INVALID_REQUEST,
+            client_answers.ErrorCode.INVALID_REQUEST,
             True,
         ),
-        (json.dumps({**whole, "params": [1]}).encode(), None, client_codec.ErrorCode.INVALID_REQUEST, True),
-        (json.dumps({**whole, "method": 4}).encode(), None, client_codec.ErrorCode.INVALID_REQUEST, True),
-        (request(None), None, client_codec.ErrorCode.INVALID_REQUEST, True),
-        (b'{"jsonrpc":"2.0","method":"interrupt"}', None, client_codec.ErrorCode.INVALID_PARAMS, False),
-        (request(1, "nobody"), 1, client_codec.ErrorCode.METHOD_NOT_FOUND, False),
+        (json.dumps({**whole, "params": [1]}).encode(), None, client_answers.ErrorCode.INVALID_REQUEST, True),
+        (json.dumps({**whole, "method": 4}).encode(), None, client_answers.ErrorCode.INVALID_REQUEST, True),
+        (request(None), None, client_answers.ErrorCode.INVALID_REQUEST, True),
+        (b'{"jsonrpc":"2.0","method":"interrupt"}', None, client_answers.ErrorCode.INVALID_PARAMS, False),
+        (request(1, "nobody"), 1, client_answers.ErrorCode.METHOD_NOT_FOUND, False),
     ]
     for number in (0, -1, 1.5, 2**53, 10**30, "1", True, [1]):
-        table.append((request(number), None, client_codec.ErrorCode.INVALID_REQUEST, True))
+        table.append((request(number), None, client_answers.ErrorCode.INVALID_REQUEST, True))
     odd = {
         "call": (None, "", "9b1f", CALL.upper(), CALL + "0", 7, "g" * 16, CALL + "\n"),
         "row": (None, "x", 5, FUNCTION + "0"),
@@ -130,16 +130,19 @@
     }
     for name, values in odd.items():
         for value in values:
-            table.append((request(4, **{name: value}), 4, client_codec.ErrorCode.INVALID_PARAMS, False))
-    table.append((request(4, "keyed", dedupe=None), 4, client_codec.ErrorCode.INVALID_PARAMS, False))
+            table.append((request(4, **{name: value}), 4, client_answers.ErrorCode.INVALID_PARAMS, False))
+    table.append((request(4, "keyed", dedupe=None), 4, client_answers.ErrorCode.INVALID_PARAMS, False))
     for line, number, code, last in table:
-        with pytest.raises(client_codec.ClientLineError) as caught:
+        with pytest.raises(client_answers.ClientLineError) as caught:
             read(line)
         fault = caught.value
-        if fault.code == client_codec.ErrorCode.PARSE_ERROR and code == client_codec.ErrorCode.INVALID_PARAMS:
+        if (
+            fault.code == client_answers.ErrorCode.PARSE_ERROR
+            and code == client_answers.ErrorCode.INVALID_PARAMS
+        ):
             continue  # numbers that no JSON reader takes
         assert (fault.number, fault.code, fault.ends_connection) == (number, code, last), line[:80]
-        told = json.loads(client_codec.error_line(fault))
+        told = json.loads(client_answers.error_line(fault))
         assert told["id"] == number and told["error"]["code"] == code
 
 
@@ -159,7 +162,7 @@
     for data in (b"x" * 11, b"x" * 11 + b"\n", b"ok\n" + b"x" * 11):
         reader = client_codec.LineBuffer(10)
         reader.feed(data)
-        with pytest.raises(client_codec.ClientLineError) as caught:
+        with pytest.raises(client_answers.ClientLineError) as caught:
             while reader.next_line() is not None:
                 pass
         assert caught.value.ends_connection
@@ -167,15 +170,15 @@
 
 
 def test_answers_are_json():
-    assert json.loads(client_codec.success_line(7, b"\x00\xff")) == {
+    assert json.loads(client_answers.success_line(7, b"\x00\xff")) == {
         "jsonrpc": "2.0",
         "id": 7,
         "result": {"bytes": "AP8="},
     }
-    assert json.loads(client_codec.rejection_line(7, 0.0))["error"] == {"code": -32014, "message": "nacked"}
-    assert json.loads(client_codec.rejection_line(7, 199.2))["error"]["data"] == {"pushback": 200}
-    assert json.loads(client_codec.failure_line(7))["error"]["code"] not in (-32014,)
-    assert json.loads(client_codec.check_line(3, True))["result"] == {"serving": True}
+    assert json.loads(client_answers.rejection_line(7, 0.0))["error"] == {"code": -32014, "message": "nacked"}
+    assert json.loads(client_answers.rejection_line(7, 199.2))["error"]["data"] == {"pushback": 200}
+    assert json.loads(client_answers.failure_line(7))["error"]["code"] not in (-32014,)
+    assert json.loads(client_answers.check_line(3, True))["result"] == {"serving": True}
 
 
 ID = bytes.fromhex(CALL)
