--- a/tests/test_node_door.py
+++ b/tests/test_client_connections.py
@@ -89,7 +89,7 @@
     assert [s["result"]["serving"] for s in said(pipe)] == [True, False]
 
 
-def test_taken_back_or_gone_no_answer_is_written():
+def test_no_answer_is_written_for_a_cancelled_request_or_a_lost_connection():
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(request(1, call=call(1)) + request(2, call=call(2)))
@@ -105,7 +105,7 @@
     )
 
 
-def test_a_wrong_request_gets_an_error_and_the_others_go_on():
+def test_an_invalid_request_gets_an_error_and_the_others_go_on():
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(request(1, call=call(1)) + request(2, call="xyz") + request(3, "nobody"))
@@ -126,7 +126,7 @@
     }
 
 
-def test_what_cannot_be_told_apart_closes_the_connection():
+def test_input_that_cannot_be_delimited_closes_the_connection():
     table = [
         b"nonsense\n",
         b"x" * (client_codec.LINE_BOUND + 1),
@@ -153,7 +153,7 @@
         assert pipe.aborted and len(client.lines.buffered) <= len(data)
 
 
-def test_one_that_was_ended_for_a_fault_and_does_not_go_is_aborted():
+def test_a_connection_ended_for_an_error_that_stays_open_is_aborted():
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(b"nonsense\n")
@@ -163,7 +163,7 @@
     assert pipe.aborted
 
 
-def test_a_client_that_leaves_while_its_connection_is_settled_is_gone():
+def test_a_close_while_a_connection_settles_cancels_its_requests():
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(request(1, call=call(1)) + b"nonsense\n")
@@ -175,7 +175,7 @@
     )
 
 
-def test_an_empty_line_is_no_message():
+def test_an_empty_line_is_not_a_message():
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(request(1, call=call(1)) + b"\n\r\n\n" + request(2, call=call(2)))
@@ -187,7 +187,7 @@
     assert pipe.closed and rig.listener.counts[CloseReason.SILENT] == 1
 
 
-def test_an_interrupt_that_names_nothing_is_an_error_and_no_end():
+def test_an_interrupt_without_a_request_is_an_error_that_closes_nothing():
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(request(1, call=call(1)))
@@ -200,7 +200,7 @@
     assert said(pipe)[0]["id"] == 1
 
 
-def test_somebody_elses_open_id_does_not_touch_them():
+def test_a_repeated_request_id_does_not_affect_the_client_that_has_it_open():
     rig = Rig()
     usual, pipe = rig.client()
     usual.dataReceived(request(1, call=CALL))
@@ -220,7 +220,7 @@
     assert said(pipe)[0]["result"] == {"bytes": "b2s="}
 
 
-def test_a_number_is_good_once_without_a_memory_that_grows():
+def test_a_number_is_accepted_once_in_bounded_memory():
     rig = Rig()
     client, pipe = rig.client()
     for i in range(1, 3001):
@@ -236,7 +236,7 @@
     assert len(used.above) <= 101 and not used.add(8)
 
 
-def test_a_flood_of_one_connection_takes_turns_with_the_others():
+def test_a_flood_on_one_connection_takes_turns_with_the_others():
     rig = Rig()
     rude, rude_pipe = rig.client()
     rude.dataReceived(b"".join(request(i, call=call(i)) for i in range(1, 301)))
@@ -255,7 +255,7 @@
     assert rude_pipe.closed and len(usual.state.open_requests) == 1
 
 
-def test_silent_half_and_idle_connections_are_closed():
+def test_silent_partial_and_idle_connections_are_closed():
     rig = Rig()
     silent, half, idle, at_work, stuck = (rig.client() for _ in range(5))
     half[0].dataReceived(request(1)[:-1])
@@ -278,7 +278,7 @@
     assert stuck[1].closed and rig.listener.counts[CloseReason.PARTIAL_LINE] == 2
 
 
-def test_the_longest_silent_go_when_room_is_short():
+def test_the_longest_silent_are_evicted_first():
     rig = Rig(bound=16)
     first = rig.client()
     first[0].dataReceived(request(1))
@@ -296,7 +296,7 @@
     assert sum(pipe.closed for _, pipe in silent) == 4 and not first[1].closed
 
 
-def test_of_the_idle_those_that_never_spoke_go_first():
+def test_connections_without_a_line_are_evicted_before_idle_ones():
     rig = Rig(bound=8)
     spoke = [rig.client() for _ in range(3)]
     for number, (client, _) in enumerate(spoke, 1):
@@ -312,7 +312,7 @@
     assert [pipe.closed for _, pipe in spoke] == [True, False, False]
 
 
-def test_nobody_is_put_out_with_a_request_unread_or_open():
+def test_a_connection_with_an_unread_or_open_request_is_not_evicted():
     """Danger: the newest connection was closed for want of room while its first request lay unread."""
     rig = Rig(bound=3)
     busy = [rig.client() for _ in range(2)]
@@ -329,7 +329,7 @@
     assert not pipe.closed and not any(p.closed for _, p in busy) and len(rig.submitted) == 3
 
 
-def test_half_a_request_is_not_put_out_for_want_of_room():
+def test_a_connection_with_a_partial_request_is_not_evicted():
     rig = Rig(bound=1)
     client, pipe = rig.client()
     client.dataReceived(request(1, call=call(1))[:40])
@@ -341,7 +341,7 @@
     assert len(rig.submitted) == 1
 
 
-def test_one_that_does_not_read_its_answers_is_closed():
+def test_a_client_that_does_not_read_its_answers_is_closed():
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(request(1))
@@ -351,7 +351,7 @@
     assert [heard["id"] for heard in said(pipe)] == [1]
 
 
-def test_one_that_does_not_read_its_answers_is_heard_all_the_same():
+def test_a_client_that_does_not_read_its_answers_is_still_read_from():
     """Danger: its close and its `interrupt` would lie unread, and further attempts begin for nobody."""
     rig = Rig()
     client, pipe = rig.client()
@@ -376,7 +376,7 @@
     assert rig.listener.counts[CloseReason.ANSWERS_UNREAD] == 1
 
 
-def test_what_seems_silent_is_looked_at_twice():
+def test_a_timeout_is_checked_twice():
     """Danger: after a stall of this process the sweep comes first and the sockets after it: a request that
     lay unread all the while would be closed with no answer."""
     rig = Rig()
@@ -392,7 +392,7 @@
     assert not any(pipe.closed for _, pipe in (silent, half, clogged)) and len(rig.submitted) == 3
 
 
-def test_refused_before_it_is_taken():
+def test_a_request_may_be_rejected_before_admission():
     rig = Rig()
     rig.rejection_retry_ms = 150.0
     client, pipe = rig.client()
@@ -404,7 +404,7 @@
     )
 
 
-def test_faults_are_logged_once_each():
+def test_each_kind_of_rejected_line_is_logged_once():
     rig = Rig()
     for _ in range(20):
         client, _ = rig.client()
--- a/tests/test_node_follower.py
+++ b/tests/test_discovery_client.py
@@ -34,7 +34,7 @@
             self.clock.advance(0.01)
 
 
-def test_it_goes_on_after_what_is_known():
+def test_it_resumes_after_the_initial_events():
     rig = Rig()
     assert rig.received == [([("s-00000001", "ready")], True)] and rig.client.has_full_list
     connection, pipe = rig.net.accept()
@@ -45,7 +45,7 @@
     assert rig.received[1:] == [([("s-00000002", "ready")], False), ([("s-00000002", "draining")], False)]
 
 
-def test_told_twice_counts_once():
+def test_a_repeated_event_counts_once():
     rig = Rig()
     connection, pipe = rig.net.accept()
     for _ in range(3):
@@ -53,7 +53,7 @@
     assert len(rig.received) == 2 and rig.client.number == 4 and not pipe.closed
 
 
-def test_a_break_within_an_event_asks_again_from_the_last_whole_one_at_once():
+def test_a_failure_within_an_event_resumes_at_once_after_the_last_complete_one():
     rig = Rig()
     connection, _ = rig.net.accept()
     connection.dataReceived(event(4, 2, record(2, 7002)) + event(5, 2, record(2, 7002, state=1))[:20])
@@ -68,7 +68,7 @@
     assert rig.log.events() == ["event bus down", "event bus up"]
 
 
-def test_nothing_new_after_an_event_that_was_not_told_is_a_gap():
+def test_a_heartbeat_that_names_a_missing_event_is_a_gap():
     """Danger: a feed that still beats and tells no more would hide a drain for good."""
     rig = Rig()
     connection, pipe = rig.net.accept()
@@ -86,7 +86,7 @@
     assert rig.received[-1] == ([("s-00000002", "ready")], False)
 
 
-def test_a_gap_or_a_spoilt_event_asks_again():
+def test_a_gap_or_an_unreadable_event_resumes():
     """Danger: a lost change could be a drain."""
     for spoilt in (event(6, 2, record(3, 7003)), b"\xff" * 30, event(4, 7)):
         rig = Rig()
@@ -104,7 +104,7 @@
     assert len(rig.received) == 2 and rig.client.number == 6
 
 
-def test_silence_is_found_within_what_the_rules_allow_but_not_after_an_own_stall():
+def test_silence_is_found_in_time_but_not_after_a_pause_of_this_process():
     rig = Rig()
     connection, pipe = rig.net.accept()
     for _ in range(5):
@@ -122,7 +122,7 @@
     assert len(rig.received) == 1
 
 
-def test_a_bus_that_is_away_is_asked_with_growing_pauses():
+def test_a_bus_that_is_down_is_dialled_with_backoff():
     rig = Rig()
     tries = 0
     for _ in range(1000):
@@ -133,7 +133,7 @@
     assert 10 < tries < 30 and rig.log.events() == ["event bus down"]
 
 
-def test_a_bus_that_speaks_once_and_breaks_is_not_asked_without_end():
+def test_a_bus_that_sends_one_event_and_fails_is_dialled_with_backoff():
     rig = Rig()
     tries = 0
     for _ in range(1000):
@@ -146,7 +146,7 @@
     assert 10 < tries < 30 and rig.log.events() == ["event bus down"]
 
 
-def test_another_place_goes_on_from_the_same_number():
+def test_another_endpoint_resumes_from_the_same_number():
     for dialling in (True, False):
         rig = Rig()
         if not dialling:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("how", ["close", "interrupt"])
 @pytest.mark.parametrize("cancel", [False, True])
-def test_what_waited_for_a_connection_is_not_sent_on_for_a_client_that_left(tmp_path, how, cancel):
+def test_an_attempt_that_waited_for_a_dial_is_not_sent_for_a_client_that_left(tmp_path, how, cancel):
     """Danger: where attempts can't be withdrawn, the frame went out all the same when the connection
     came up, up to a second after the client had gone."""
     late = Late()
@@ -63,7 +63,7 @@
     assert late.requests() == [B]
 
 
-def test_what_waited_for_a_connection_is_not_sent_to_one_that_drains_since(tmp_path):
+def test_an_attempt_that_waited_for_a_dial_is_not_sent_to_a_draining_executor(tmp_path):
     """Danger: an order to drain is kept by what is decided, and broken by what was decided before it."""
     late = Late()
     with node(tmp_path, [late], limits={"connectTimeoutS": 20.0}) as n:
@@ -79,7 +79,7 @@
     assert late.requests() == []
 
 
-def test_what_waited_says_how_long_the_client_waits_from_then(tmp_path):
+def test_an_attempt_that_waited_for_a_dial_carries_the_time_that_is_left(tmp_path):
     late = Late()
     with node(tmp_path, [late], limits={"connectTimeoutS": 20.0}) as n:
         client = n.client()
@@ -94,7 +94,7 @@
     assert int(fields["wait"]) <= 3500
 
 
-def test_what_waited_past_the_window_against_repeats_is_not_repeated(tmp_path):
+def test_an_attempt_that_waited_past_the_deduplication_window_is_not_repeated(tmp_path):
     """Danger: the mark of the first is forgotten when the second arrives: the effect happens twice."""
     first, late = Holder(), Late()
     with node(
@@ -117,7 +117,7 @@
 # -- this process stood still
 
 
-def test_what_came_in_a_stall_is_read_before_its_connection_is_taken_for_idle(tmp_path):
+def test_what_arrived_in_a_pause_is_read_before_its_connection_counts_as_idle(tmp_path):
     """Danger: timers come first after a stall: an idle connection was closed with a request unread on it."""
     executor = Executor()
     with node(tmp_path, [executor]) as n:
@@ -160,7 +160,7 @@
     return sorted(n.executors, key=lambda e: bytes.fromhex(id) not in e.held)
 
 
-def test_no_second_attempt_after_a_stall_for_a_client_that_left_in_it(tmp_path):
+def test_no_second_attempt_after_a_pause_for_a_client_that_left_in_it(tmp_path):
     """Danger: timers come first after a stall: a second attempt began for a client whose close lay unread."""
     with node(tmp_path, [Holder(), Holder()], known=(1, 2), classes={"safe": {"aimS": 3.0}}) as n:
         skilled(n, 0.3)
@@ -192,7 +192,7 @@
 # -- leaving
 
 
-def test_what_lies_in_the_backlog_when_the_listener_closes_is_answered(tmp_path):
+def test_requests_in_the_backlog_when_the_listener_closes_are_answered(tmp_path):
     executor = Executor()
     with node(tmp_path, [executor]) as n:
         n.signal(signal.SIGTERM)
@@ -207,7 +207,7 @@
     assert n.process.returncode == 0
 
 
-def test_answers_that_a_slow_client_has_not_read_leave_before_the_process(tmp_path):
+def test_answers_that_a_slow_client_has_not_read_are_flushed_before_the_exit(tmp_path):
     """Danger: what lay in a transport's buffer 50 ms after the last answer ended with the process."""
     holder = Holder()
     with node(tmp_path, [holder]) as n:
@@ -236,7 +236,7 @@
     return True
 
 
-def test_signals_while_it_leaves_change_nothing_owed(tmp_path):
+def test_signals_during_the_drain_change_no_answer(tmp_path):
     holder = Holder()
     with node(tmp_path, [holder]) as n:
         client = n.client()
@@ -256,7 +256,7 @@
     assert len(events) == 3, events
 
 
-def test_sigterm_before_the_reactor_runs_leaves_in_order(tmp_path):
+def test_sigterm_before_the_reactor_runs_drains(tmp_path):
     """Danger: since it listens clients may have asked, and by default SIGTERM ends the process at once."""
     executor, bus = Executor(), Bus()
     address, path = spare(), tmp_path / "config.json"
@@ -292,7 +292,7 @@
         bus.close()
 
 
-def test_killed_and_started_again_at_its_address(tmp_path):
+def test_a_kill_and_a_restart_at_the_same_address(tmp_path):
     """Its connections were under way: the address is free at once, and what was held is forgotten."""
     holder = Holder()
     with node(tmp_path, [holder]) as n:
@@ -347,7 +347,7 @@
 # -- descriptors
 
 
-def test_idle_clients_fill_their_share_while_the_bus_is_down(tmp_path):
+def test_idle_clients_fill_their_descriptors_while_the_bus_is_down(tmp_path):
     """The bus and the executors are reached again, and who has an open request is never put out."""
     holder = Holder()
     with node(tmp_path, [holder], sockets=128, before="ulimit -n 128; ") as n:
@@ -406,7 +406,7 @@
 
 
 @pytest.mark.parametrize("how", [*KINDS, "the executor's connection resets"])
-def test_a_thousand_endings_leave_nothing(tmp_path, how):
+def test_a_thousand_endings_leave_nothing_open(tmp_path, how):
     executor = {"an answer": Executor, "the executor's connection resets": Resetter}.get(how, Holder)()
     with node(tmp_path, [executor], sockets=512) as n:
         folder = Path(f"/proc/{n.process.pid}/fd")
--- a/tests/test_node_links.py
+++ b/tests/test_executor_pool.py
@@ -88,7 +88,7 @@
             self.clock.advance(0.01)
 
 
-def test_each_answer_proves_what_it_says():
+def test_each_answer_ends_its_attempt_with_its_outcome():
     table = [
         (100, Outcome.SUCCEEDED),
         (102, Outcome.MISS),
@@ -105,7 +105,7 @@
         assert rig.listener.ends.pop() == ((serial, 0), outcome, b"out")
 
 
-def test_a_connection_each_while_there_is_room_then_shared():
+def test_attempts_share_connections_only_past_the_budget():
     rig = Rig(room=3, streams=2)
     up = rig.fill(*range(7))
     assert len(up) == 3 and rig.budget.used == 3
@@ -114,7 +114,7 @@
     assert rig.ended() == [((6, 0), Outcome.UNSENT)]  # past the bound of streams: it never left
 
 
-def test_one_spoilt_answer_takes_no_other_with_it():
+def test_an_unreadable_answer_fails_only_its_own_attempt():
     rig = Rig()
     up = rig.fill(*range(3))
     up[1][0].dataReceived(b"\x00" * 40)
@@ -122,7 +122,7 @@
     assert up[1][1].aborted and not up[0][1].closed and not up[2][1].closed
 
 
-def test_refused_before_the_hand_over_never_ran_after_it_unknown():
+def test_a_refused_dial_proves_that_an_attempt_never_ran_a_reset_does_not():
     rig = Rig()
     rig.send(1)
     rig.net.refuse()
@@ -139,7 +139,7 @@
     assert rig.ended() == [((3, 0), Outcome.RESET)]
 
 
-def test_what_waited_goes_out_only_if_it_still_may():
+def test_an_attempt_that_waited_for_a_dial_is_sent_only_if_still_allowed():
     """Danger: decided up to a second ago: the client may have left, the executor drain."""
     rig = Rig()
     for serial in (1, 2, 3):
@@ -156,7 +156,7 @@
     assert [c[0] for c in commands(first[1].take())] == [10]
 
 
-def test_what_waited_for_room_goes_out_only_if_it_still_may():
+def test_an_attempt_that_waited_for_buffer_space_is_sent_only_if_still_allowed():
     rig = Rig(room=1)
     connection, pipe = rig.up()
     connection.pauseProducing()
@@ -170,7 +170,7 @@
     assert [c[1] for c in commands(pipe.take())] == [call(2)] and rig.ended() == [((1, 0), Outcome.UNSENT)]
 
 
-def test_a_late_never_ran_of_the_first_does_not_end_the_second():
+def test_a_late_answer_to_the_first_attempt_does_not_end_the_second():
     """Danger: both attempts of one request carry its id."""
     rig = Rig(room=1)
     connection, pipe = rig.up()
@@ -191,7 +191,7 @@
     assert rig.ended() == [((5, 1), Outcome.SUCCEEDED)]
 
 
-def test_second_copies_and_unknown_ids_are_dropped_and_counted():
+def test_duplicate_answers_and_unknown_ids_are_dropped_and_counted():
     rig = Rig()
     connection, _ = rig.up()
     rig.send(1)
@@ -203,7 +203,7 @@
     assert rig.ended() == [((2, 0), Outcome.SUCCEEDED)]
 
 
-def test_half_an_answer_ends_its_connection_but_not_after_an_own_stall():
+def test_a_partial_answer_ends_its_connection_but_not_after_a_pause_of_this_process():
     rig = Rig()
     connection, pipe = rig.up()
     rig.send(1)
@@ -220,7 +220,7 @@
     assert rig.ended() == [((2, 0), Outcome.RESET)] and pipe.aborted
 
 
-def test_a_silent_machine_costs_one_time_out():
+def test_a_silent_machine_costs_one_timeout():
     """Danger: a machine that vanished says nothing; idle connections to it look as good as new."""
     rig = Rig()
     up = rig.fill(1, 2)
@@ -238,7 +238,7 @@
     assert rig.ended() == [((4, 0), Outcome.UNREACHABLE)]
 
 
-def test_one_answer_that_never_comes_is_no_silent_machine():
+def test_one_missing_answer_does_not_distrust_the_machine():
     rig = Rig()
     up = rig.fill(1, 2)
     rig.step(executor_pool.SILENCE_TIMEOUT_MS + 50)
@@ -248,7 +248,7 @@
     assert up[0][1].closed and not up[1][1].closed
 
 
-def test_another_answer_on_the_same_connection_shows_that_it_lives():
+def test_another_answer_on_the_same_connection_shows_that_it_is_alive():
     rig = Rig(room=1)
     connection, pipe = rig.up()
     rig.send(1)
@@ -260,7 +260,7 @@
     assert not pipe.closed
 
 
-def test_one_that_takes_no_byte_is_failed():
+def test_a_clogged_connection_is_dropped():
     rig = Rig()
     connection, pipe = rig.up()
     rig.send(1)
@@ -271,7 +271,7 @@
     assert pipe.aborted and rig.ended() == [((1, 0), Outcome.RESET)]
 
 
-def test_orders_have_ids_of_their_own():
+def test_load_requests_have_ids_of_their_own():
     rig = Rig()
     connection, pipe = rig.up()
     assert rig.pool.order(7, FUNCTION, 2, 0.0, 0) is None
@@ -283,7 +283,7 @@
     assert rig.listener.load_requests == [(7, Outcome.SUCCEEDED, 2)] and rig.ended() == []
 
 
-def test_orders_end_once_however():
+def test_load_requests_end_once():
     for end, expected in (
         (lambda rig, connection, own: connection.connectionLost(lost()), [(7, Outcome.RESET, 0)]),
         (
@@ -303,7 +303,7 @@
     assert rig.pool.order(8, FUNCTION, 1, 0.0, 0) is Outcome.UNREACHABLE
 
 
-def test_ids_given_up_are_bounded():
+def test_abandoned_ids_are_bounded():
     """Danger: they are kept for as long as the connection lives."""
     rig = Rig()
     connection, pipe = rig.up()
@@ -314,7 +314,7 @@
     assert pipe.closed and rig.budget.used == 0
 
 
-def test_a_word_on_what_was_not_sent_ends_nothing():
+def test_an_answer_to_an_unsent_attempt_ends_nothing():
     rig = Rig(room=1)
     connection, pipe = rig.up()
     rig.send(1)
@@ -326,7 +326,7 @@
     assert rig.ended() == [] and rig.budget.counts["unmatched answers"] == 1
 
 
-def test_gone_moved_and_restarted_end_old_connections_at_once():
+def test_removal_move_and_restart_drop_old_connections_at_once():
     table = [
         (lambda rig: rig.pool.remove(), True),
         (lambda rig: rig.pool.moved("127.0.0.1", 7001), True),
@@ -352,7 +352,7 @@
     assert rig.net.dialled
 
 
-def test_one_that_accepts_and_resets_is_not_dialled_without_end():
+def test_an_executor_that_accepts_and_resets_is_dialled_with_backoff():
     rig = Rig()
     dials = 0
     for _ in range(200):
@@ -365,7 +365,7 @@
     assert 3 < dials < 25 and rig.log.events() == ["link down"], dials
 
 
-def test_idle_connections_go_but_one_stays_ready():
+def test_idle_connections_are_closed_but_one_stays_ready():
     rig = Rig()
     up = rig.fill(*range(5))
     for serial in range(5):
@@ -382,7 +382,7 @@
     assert all(pipe.closed for _, pipe in up) and len(rig.net.dialled) == 1
 
 
-def test_what_is_said_of_a_attempt():
+def test_the_commands_of_an_attempt():
     for cancels, codes in ((True, [10, 11]), (False, [10])):  # where the deployment allows no withdrawal
         rig = Rig(cancels=cancels)
         _, pipe = rig.up()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -181,7 +181,7 @@
     assert not [e for e in events if "Traceback" in str(e)]
 
 
-def test_no_request_is_lost_when_accept_fails_while_it_leaves(tmp_path, failing):
+def test_no_request_is_lost_when_accept_fails_during_the_drain(tmp_path, failing):
     with node(tmp_path, [Executor()], failing=failing) as n:
         failing.fail("accept", errno.EMFILE, 500)
         n.signal(signal.SIGTERM)
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -13,7 +13,7 @@
 from petrelway.fakes.platform_peers import Bus, Executor, configuration, request
 
 
-def test_a_day_of_one_process(tmp_path):
+def test_one_process_from_start_to_shutdown(tmp_path):
     executor, first, second = Executor(), Bus(), Bus()
     address, path = spare(), tmp_path / "config.json"
 
@@ -69,7 +69,7 @@
     assert threading.active_count() == 1
 
 
-def test_out_of_descriptors_it_lives_and_serves_again(tmp_path):
+def test_out_of_descriptors_it_stays_up_and_serves_again(tmp_path):
     """Danger: a process that can't accept any more must neither end nor turn round at full speed for good."""
     executor, bus = Executor(), Bus()
     address, path = spare(), tmp_path / "config.json"
@@ -97,7 +97,7 @@
     return {row.split()[6 if table == "unix" else 9] for row in rows}
 
 
-def test_what_run_starts_is_one_process_that_sleeps(tmp_path):
+def test_run_starts_one_process_that_sleeps(tmp_path):
     """The standing test's bench preloads a library into `run` and refuses it all else. Danger: a shell in
     between, a child, a Unix socket or a thread that spins, and no day of it can be played."""
     executor, bus = Executor(), Bus()
@@ -130,7 +130,7 @@
     assert process.returncode == 0
 
 
-def test_a_bad_configuration_is_said_in_one_line(tmp_path):
+def test_a_bad_configuration_is_reported_in_one_line(tmp_path):
     for data, where in (
         (b"{", "not JSON"),
         (b"[" * 100_000, "not JSON"),
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -108,7 +108,7 @@
         assert reply["id"] == number and reply["result"]["bytes"]
 
 
-def test_what_is_given_up_is_answered_at_once():
+def test_an_abandoned_request_is_answered_at_once():
     """Danger: an answer held back on its way out, towards the client's limit (1,500 ms), so that the client
     does not ask again. Each comes in the turn in which the executor's word does, with a time to come back."""
     # request class, the executor's word, the error, has a time to come back
@@ -136,7 +136,7 @@
         assert said(pipe) == []
 
 
-def test_what_finds_no_place_is_answered_early():
+def test_a_request_without_a_placement_is_answered_early():
     """Full everywhere: the wait ends at a share of the quoted time (1,000 ms), far from the client's own."""
     rig = Rig()
     client, pipe = rig.client()
@@ -152,7 +152,7 @@
     assert rig.reactor.seconds() - taken < 0.4
 
 
-def test_an_executor_at_the_address_of_one_that_has_gone():
+def test_an_executor_at_the_address_of_a_removed_one():
     rig = Rig()
     client, _ = rig.client()
     client.dataReceived(request())
@@ -169,7 +169,7 @@
     assert fresh.removed and not fresh.connections  # one that has gone is let go at once
 
 
-def test_a_new_configuration_moves_the_bus_and_nothing_else():
+def test_a_reload_moves_the_event_bus_and_nothing_else():
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(request())
@@ -191,7 +191,7 @@
     assert said(pipe)[0]["result"]
 
 
-def test_a_configuration_that_cannot_be_used_is_counted_and_said_once():
+def test_a_rejected_configuration_is_counted_and_logged_once():
     """Danger: a day of SIGHUPs with a bad file floods the log, or settings change without a word."""
     rig = Rig()
     client, pipe = rig.client()
@@ -221,7 +221,7 @@
     assert said(pipe)[0]["result"]  # the old one serves on
 
 
-def test_sigterm_serves_on_for_a_moment_then_answers_what_is_owed():
+def test_sigterm_serves_on_for_a_moment_then_answers_open_requests():
     rig = Rig()
     usual, idle, late = (rig.client() for _ in range(3))
     usual[0].dataReceived(request(1, call=f"{1:016x}"))
@@ -248,7 +248,7 @@
     assert left
 
 
-def test_sigterm_ends_with_what_is_never_answered():
+def test_sigterm_ends_despite_a_request_that_is_never_answered():
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(request(1))
@@ -310,7 +310,7 @@
     assert rig.node.connection_budget.used <= 2 and len(rig.reactor.getDelayedCalls()) < 20
 
 
-def test_the_time_that_lay_unread_counts():
+def test_the_time_that_a_request_lay_unread_counts():
     rig = Rig()
     rig.node.admission.lag_ms = 200.0
     client, _ = rig.client()
@@ -320,7 +320,7 @@
     assert 700.0 < left_ms < 800.0
 
 
-def test_few_descriptors_leave_clients_their_third_and_executors_the_rest():
+def test_few_descriptors_leave_clients_a_third_and_executors_the_rest():
     for sockets in (64, 80, 92, 93, 128, 1024):
         node = Rig(sockets=sockets).node
         assert node.client_listener.connections_bound >= sockets / 3 and node.connection_budget.bound >= 16, (
--- a/tests/test_settled_closes.py
+++ b/tests/test_settled_closes.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("kind", BAD_LINES)
-def test_a_request_that_is_open_gets_its_answer_whatever_its_client_says_next(tmp_path, kind):
+def test_an_open_request_gets_its_answer_whatever_its_client_sends_next(tmp_path, kind):
     """Danger: one more line on the connection closed it, and the open request got no answer at all."""
     holder = Holder()
     with node(tmp_path, [holder]) as n:
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("kind", GO_ON)
-def test_what_is_no_reason_to_close_closes_nothing(tmp_path, kind):
+def test_input_that_is_no_reason_to_close_closes_nothing(tmp_path, kind):
     holder = Holder()
     with node(tmp_path, [holder]) as n:
         client = n.client()
