--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -87,7 +87,7 @@
 
 
 def settings(limits=None, classes=None):
-    """The stand-ins' deployment with other limits, and other figures of its classes by name."""
+    """The fakes' deployment with other limits, and other figures of its classes by name."""
     told = copy.deepcopy(SETTINGS)
     told["limits"].update(limits or {})
     for each in told["classes"]:
@@ -122,7 +122,7 @@
         self.process.send_signal(number)
 
     def stopped(self):
-        """It stands still, as in a long stall."""
+        """Stop the process, as in a long pause."""
         self.signal(signal.SIGSTOP)
         stat = Path(f"/proc/{self.process.pid}/stat")
         until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
@@ -134,7 +134,7 @@
         return any(row[2] == f"{host}:{port}" and row[3] == SYN_SENT for row in rows)
 
     def events(self, ended=True):
-        """What it logged; ends it."""
+        """Give what it logged; ends it."""
         if self.process.poll() is None:
             self.signal(signal.SIGCONT)
             if ended:
--- a/tests/test_client_codec.py
+++ b/tests/test_client_codec.py
@@ -118,8 +118,8 @@
         ):
             continue  # numbers that no JSON reader takes
         assert (fault.number, fault.code, fault.ends_connection) == (number, code, last), line[:80]
-        told = json.loads(client_answers.error_line(fault))
-        assert told["id"] == number and told["error"]["code"] == code
+        answer_read = json.loads(client_answers.error_line(fault))
+        assert answer_read["id"] == number and answer_read["error"]["code"] == code
 
 
 def test_lines_split_at_every_byte():
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -55,7 +55,7 @@
             self.clock.advance(0)
 
 
-def said(pipe):
+def replies(pipe):
     return [json.loads(line) for line in pipe.take().splitlines()]
 
 
@@ -70,7 +70,7 @@
     answers = ((1, Answer(REJECTED, 120.0)), (0, Answer(SUCCEEDED, body=b"ok")), (2, Answer(FAILED)))
     for i, answer in answers:
         rig.submitted[i][1].callback(answer)
-    rejected, succeeded, broken = said(pipe)
+    rejected, succeeded, broken = replies(pipe)
     assert rejected == {
         "jsonrpc": "2.0",
         "id": 2,
@@ -86,7 +86,7 @@
     client, pipe = rig.client()
     for rig.serving in (True, False):
         client.dataReceived(b'{"jsonrpc":"2.0","id":1,"method":"check"}\n')
-    assert [s["result"]["serving"] for s in said(pipe)] == [True, False]
+    assert [s["result"]["serving"] for s in replies(pipe)] == [True, False]
 
 
 def test_no_answer_is_written_for_a_cancelled_request_or_a_lost_connection():
@@ -109,7 +109,7 @@
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(request(1, call=call(1)) + request(2, call="xyz") + request(3, "nobody"))
-    assert [(s["id"], s["error"]["code"]) for s in said(pipe)] == [
+    assert [(s["id"], s["error"]["code"]) for s in replies(pipe)] == [
         (2, client_answers.ErrorCode.INVALID_PARAMS),
         (3, client_answers.ErrorCode.METHOD_NOT_FOUND),
     ]
@@ -119,7 +119,7 @@
         rig.turns()
     rig.clock.advance(0)
     assert pipe.closed and rig.given_up == [bytes.fromhex(call(1))] and not rig.cancelled
-    assert said(pipe)[-1] == {
+    assert replies(pipe)[-1] == {
         "jsonrpc": "2.0",
         "id": 1,
         "error": {"code": client_answers.ErrorCode.FAILED, "message": "broken off"},
@@ -139,15 +139,15 @@
         rig = Rig()
         client, pipe = rig.client()
         client.dataReceived(data)
-        (heard,) = said(pipe)
-        assert heard["error"] and heard["id"] in (None, 2), data[:60]  # never as 1's answer
+        (reply,) = replies(pipe)
+        assert reply["error"] and reply["id"] in (None, 2), data[:60]  # never as 1's answer
         assert not pipe.closed or not rig.submitted  # what is open is answered first
         rig.clock.advance(0)
-        assert [h["id"] for h in said(pipe)] == [1] * len(
+        assert [h["id"] for h in replies(pipe)] == [1] * len(
             rig.submitted
         )  # its one answer: given up, not served
         assert pipe.closed and len(rig.given_up) == len(rig.submitted) and not client.state.open_requests
-        client.dataReceived(b"x" * 1000)  # what follows is dropped, and its close still heard
+        client.dataReceived(b"x" * 1000)  # what follows is dropped, and its close is still seen
         assert not pipe.aborted and len(client.lines.buffered) <= len(data)
         client.dataReceived(b"x" * 10_000_000)  # 60 MB may follow: nothing is collected
         assert pipe.aborted and len(client.lines.buffered) <= len(data)
@@ -192,12 +192,12 @@
     client, pipe = rig.client()
     client.dataReceived(request(1, call=call(1)))
     client.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{}}\n')
-    (heard,) = said(pipe)
-    assert heard["id"] is None and heard["error"]["code"] == client_answers.ErrorCode.INVALID_PARAMS
+    (reply,) = replies(pipe)
+    assert reply["id"] is None and reply["error"]["code"] == client_answers.ErrorCode.INVALID_PARAMS
     client.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}\n' % call(9).encode())
     assert not pipe.closed and not rig.cancelled and pipe.take() == b""
     rig.submitted[0][1].callback(Answer(SUCCEEDED, body=b"ok"))
-    assert said(pipe)[0]["id"] == 1
+    assert replies(pipe)[0]["id"] == 1
 
 
 def test_a_repeated_request_id_does_not_affect_the_client_that_has_it_open():
@@ -207,7 +207,7 @@
     bad, bad_pipe = rig.client()
     bad.dataReceived(request(1, call=CALL, body=b"other"))
     assert (
-        said(bad_pipe)[0]["error"]["code"] == client_answers.ErrorCode.INVALID_PARAMS
+        replies(bad_pipe)[0]["error"]["code"] == client_answers.ErrorCode.INVALID_PARAMS
         and not rig.cancelled
         and not bad_pipe.closed
     )
@@ -217,7 +217,7 @@
     assert not rig.cancelled  # neither theirs nor its own under the same number
     bad.connectionLost(lost())
     rig.submitted[0][1].callback(Answer(SUCCEEDED, body=b"ok"))
-    assert said(pipe)[0]["result"] == {"bytes": "b2s="}
+    assert replies(pipe)[0]["result"] == {"bytes": "b2s="}
 
 
 def test_a_number_is_accepted_once_in_bounded_memory():
@@ -238,9 +238,9 @@
 
 def test_a_flood_on_one_connection_takes_turns_with_the_others():
     rig = Rig()
-    rude, rude_pipe = rig.client()
-    rude.dataReceived(b"".join(request(i, call=call(i)) for i in range(1, 301)))
-    assert len(rig.submitted) == client_connection.LINES_PER_TURN and not rude_pipe.reading
+    flooding, flooding_pipe = rig.client()
+    flooding.dataReceived(b"".join(request(i, call=call(i)) for i in range(1, 301)))
+    assert len(rig.submitted) == client_connection.LINES_PER_TURN and not flooding_pipe.reading
     usual, _ = rig.client()
     usual.dataReceived(request(1, call=CALL))
     assert rig.submitted[-1][0].request_id.hex() == CALL  # served before the rest of the flood is read
@@ -248,23 +248,23 @@
     rig.clock.advance(0)
     bound = connection_state.OPEN_REQUESTS_BOUND
     assert len(rig.submitted) == 1 + bound and len(rig.given_up) == bound and not rig.cancelled
-    answered = [heard["id"] for heard in said(rude_pipe)]
+    answered = [reply["id"] for reply in replies(flooding_pipe)]
     assert sorted(answered)[: bound + connection_state.ERRORS_BOUND] == list(
         range(1, bound + connection_state.ERRORS_BOUND + 1)
     )
-    assert rude_pipe.closed and len(usual.state.open_requests) == 1
+    assert flooding_pipe.closed and len(usual.state.open_requests) == 1
 
 
 def test_silent_partial_and_idle_connections_are_closed():
     rig = Rig()
-    silent, half, idle, at_work, stuck = (rig.client() for _ in range(5))
-    half[0].dataReceived(request(1)[:-1])
+    silent, partial, idle, at_work, stuck = (rig.client() for _ in range(5))
+    partial[0].dataReceived(request(1)[:-1])
     for client, number in ((idle, 1), (at_work, 2), (stuck, 3)):
         client[0].dataReceived(request(1, call=call(number)))
     stuck[0].dataReceived(b"{")
     rig.submitted[0][1].callback(Answer(SUCCEEDED))
     rig.step(connection_state.SILENCE_TIMEOUT_MS + client_listener.SWEEP_INTERVAL_MS + 50)
-    assert [c[1].closed for c in (silent, half, stuck, idle, at_work)] == [True, True, False, False, False]
+    assert [c[1].closed for c in (silent, partial, stuck, idle, at_work)] == [True, True, False, False, False]
     assert (
         connection_state.SILENCE_TIMEOUT_MS
         + client_listener.SWEEP_INTERVAL_MS
@@ -284,11 +284,11 @@
     first[0].dataReceived(request(1))
     silent = [rig.client() for _ in range(13)]
     rig.step(200)
-    for gone in (1, 2):  # into the part that is kept free: as many of the others go
+    for evicted in (1, 2):  # into the part that is kept free: as many of the others go
         rig.client()
         rig.step(10)
-        assert [pipe.closed for _, pipe in silent] == [True] * gone + [False] * (13 - gone)
-        silent[gone - 1][0].connectionLost(lost())
+        assert [pipe.closed for _, pipe in silent] == [True] * evicted + [False] * (13 - evicted)
+        silent[evicted - 1][0].connectionLost(lost())
     while rig.listener.has_capacity():  # many at once: nobody is accepted past the bound
         rig.client()
     assert len(rig.listener.connections) == 16
@@ -313,7 +313,7 @@
 
 
 def test_a_connection_with_an_unread_or_open_request_is_not_evicted():
-    """Danger: the newest connection was closed for want of room while its first request lay unread."""
+    """The newest connection was closed for want of capacity while its first request lay unread."""
     rig = Rig(bound=3)
     busy = [rig.client() for _ in range(2)]
     for number, (client, _) in enumerate(busy, 1):
@@ -348,11 +348,11 @@
     client.pauseProducing()
     rig.step(connection_state.UNREAD_TIMEOUT_MS + 300)
     assert pipe.closed and rig.given_up and not rig.cancelled
-    assert [heard["id"] for heard in said(pipe)] == [1]
+    assert [reply["id"] for reply in replies(pipe)] == [1]
 
 
 def test_a_client_that_does_not_read_its_answers_is_still_read_from():
-    """Danger: its close and its `interrupt` would lie unread, and further attempts begin for nobody."""
+    """Otherwise its close and its `interrupt` would lie unread, and further attempts begin for nobody."""
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(request(1, call=call(1)) + request(2, call=call(2)))
@@ -363,7 +363,7 @@
     # no further work is done for it meanwhile, and its answers do not pile up without end
     client.dataReceived(request(3, call=call(3)))
     assert len(rig.submitted) == 2
-    assert said(pipe)[-1]["error"] == {
+    assert replies(pipe)[-1]["error"] == {
         "code": client_answers.ErrorCode.REJECTED,
         "message": "nacked",
         "data": {"pushback": 200},
@@ -377,19 +377,19 @@
 
 
 def test_a_timeout_is_checked_twice():
-    """Danger: after a stall of this process the sweep comes first and the sockets after it: a request that
+    """After a pause of this process the sweep comes first and the sockets after it: a request that
     lay unread all the while would be closed with no answer."""
     rig = Rig()
-    silent, half, clogged = (rig.client() for _ in range(3))
-    half[0].dataReceived(request(1, call=call(1))[:50])
+    silent, partial, clogged = (rig.client() for _ in range(3))
+    partial[0].dataReceived(request(1, call=call(1))[:50])
     clogged[0].dataReceived(request(1, call=call(2)))
     clogged[0].pauseProducing()
     rig.clock.advance(10.0)  # one look, by a timer that is overdue; then what lay unread is read
     silent[0].dataReceived(request(1, call=call(3)))
-    half[0].dataReceived(request(1, call=call(1))[50:])
+    partial[0].dataReceived(request(1, call=call(1))[50:])
     clogged[0].resumeProducing()
     rig.step(client_listener.SWEEP_INTERVAL_MS + 100)
-    assert not any(pipe.closed for _, pipe in (silent, half, clogged)) and len(rig.submitted) == 3
+    assert not any(pipe.closed for _, pipe in (silent, partial, clogged)) and len(rig.submitted) == 3
 
 
 def test_a_request_may_be_rejected_before_admission():
@@ -398,7 +398,7 @@
     client, pipe = rig.client()
     client.dataReceived(request(1))
     assert (
-        said(pipe)[0]["error"]["data"] == {"pushback": 150}
+        replies(pipe)[0]["error"]["data"] == {"pushback": 150}
         and not rig.submitted
         and not client.state.open_requests
     )
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_a_request_has_its_time_whatever_the_wall_clock_does(tmp_path, failing, step_s):
-    """Danger: a step forward refused it at once, a step back kept it unanswered for as long as the step."""
+    """A step forward rejected it at once, a step back left it unanswered for as long as the step."""
     holder = Holder()
     with node(tmp_path, [holder], failing=failing) as n:
         client = n.client()
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_an_idle_front_end_serves_on_after_a_step(tmp_path, failing, step_s):
-    """Danger: the step passed for lag of the process, and what came next was refused."""
+    """The step counted as lag of the process, and what came next was rejected."""
     with node(tmp_path, [Executor()], failing=failing) as n:
         client = n.client()
         for number in range(1, 13):
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_a_step_while_it_leaves_changes_nothing_owed(tmp_path, failing, step_s):
-    """Danger: the graces of a shutdown are spans: after a step back it stayed for an hour."""
+    """The timeouts of a shutdown are spans: after a step back it stayed for an hour."""
     holder = Holder()
     with node(tmp_path, [holder], failing=failing) as n:
         client = n.client()
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_discovery_that_falls_silent_over_a_step_is_asked_again(tmp_path, failing, step_s):
-    """Danger: with its silence reckoned on the wall clock the old list stood for an hour."""
+    """With its silence measured on the wall clock the old list stayed for an hour."""
     executor, other = Executor(), Executor()
     with contextlib.closing(other), node(tmp_path, [executor], failing=failing) as n:
         until(lambda: n.bus.resumed)
@@ -151,7 +151,7 @@
 
 
 def burst_to(n, failing, step_s, started):
-    """How many of a burst an executor gets that is told after the step as the only one."""
+    """How many of a burst an executor gets that is the only one listed after the step."""
     other = Executor()
     with contextlib.closing(other):
         until(lambda: n.bus.resumed)
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_a_cold_executor_is_spared_whatever_the_wall_clock_says(tmp_path, failing, step_s):
-    """Danger: with the wall clock an hour ahead one that has just started passed for warm."""
+    """With the wall clock an hour ahead an executor that had just started passed for warm."""
     with node(tmp_path, [Executor()], failing=failing) as n:
         assert 0 < burst_to(n, failing, step_s, int(time.time() * 1e3)) <= COLD_SENDS_BOUND
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -69,7 +69,7 @@
 
 
 def test_a_heartbeat_that_names_a_missing_event_is_a_gap():
-    """Danger: a feed that still beats and tells no more would hide a drain for good."""
+    """A bus that sends heartbeats but no more events would hide a drain for good."""
     rig = Rig()
     connection, pipe = rig.net.accept()
     pipe.take()
@@ -87,7 +87,7 @@
 
 
 def test_a_gap_or_an_unreadable_event_resumes():
-    """Danger: a lost change could be a drain."""
+    """A lost change could be a drain."""
     for spoilt in (event(6, 2, record(3, 7003)), b"\xff" * 30, event(4, 7)):
         rig = Rig()
         connection, pipe = rig.net.accept()
@@ -110,7 +110,7 @@
     for _ in range(5):
         rig.step(1000)
         connection.dataReceived(event(3, 0))
-    rig.clock.advance(HEARTBEAT_TIMEOUT_MS / 1e3)  # this process stood still
+    rig.clock.advance(HEARTBEAT_TIMEOUT_MS / 1e3)  # this process was paused
     connection.dataReceived(event(3, 0))
     assert not pipe.aborted
     rig.step(1000)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,6 @@
-"""What ends while something is still owed: the program itself, with stand-ins that force the bad order.
+"""What ends while requests are open: the program itself, with fakes that force the bad order.
 
-Each test holds, resets or stops one side at a named moment; what is judged is what arrived at the stand-ins
+Each test holds, resets or stops one side at a named moment; what is judged is what arrived at the fakes
 and clients. Times are waited for only where the program's own limit has to pass.
 """
 
@@ -32,7 +32,7 @@
 A, B, C = (f"{n:016x}" for n in (1, 2, 3))
 
 
-def leaves(client, how):
+def end_client(client, how):
     if how == "close":
         client.sock.shutdown(socket.SHUT_RDWR)
     else:
@@ -46,14 +46,14 @@
 @pytest.mark.parametrize("how", ["close", "interrupt"])
 @pytest.mark.parametrize("cancel", [False, True])
 def test_an_attempt_that_waited_for_a_dial_is_not_sent_for_a_client_that_left(tmp_path, how, cancel):
-    """Danger: where attempts can't be withdrawn, the frame went out all the same when the connection
-    came up, up to a second after the client had gone."""
+    """Where attempts can't be cancelled, the frame went out all the same when the connection
+    came up, up to a second after the client had left."""
     late = Late()
     with node(tmp_path, [late], limits={"connectTimeoutS": 20.0, "cancel": cancel}) as n:
         client, other = n.client(), n.client()
         client.say(request(call=A, ttl=4000))
         check(client)
-        leaves(client, how)
+        end_client(client, how)
         other.say(request(call=B, ttl=4000))
         check(other)
         late.open()
@@ -64,7 +64,7 @@
 
 
 def test_an_attempt_that_waited_for_a_dial_is_not_sent_to_a_draining_executor(tmp_path):
-    """Danger: an order to drain is kept by what is decided, and broken by what was decided before it."""
+    """A drain is respected by new decisions, and was broken by those made before it."""
     late = Late()
     with node(tmp_path, [late], limits={"connectTimeoutS": 20.0}) as n:
         client = n.client()
@@ -72,7 +72,7 @@
         check(client)
         n.bus.tell(record(1, late.port, state=1))
         until(lambda: n.bus.resumed)
-        time.sleep(0.1)  # told in the next 20 ms; the connection comes up no sooner than in some hundred
+        time.sleep(0.1)  # the event comes in the next 20 ms; the connection comes up no sooner than in some hundred
         late.open()
         assert client.hear()["error"]["code"] == -32014  # it never ran
         n.events()
@@ -90,12 +90,12 @@
         late.open()
         assert "result" in client.hear()
         n.events()
-    ((_, _, fields, _),) = [told for told in late.told if told[0] == 10]
+    ((_, _, fields, _),) = [command for command in late.told if command[0] == 10]
     assert int(fields["wait"]) <= 3500
 
 
 def test_an_attempt_that_waited_past_the_deduplication_window_is_not_repeated(tmp_path):
-    """Danger: the mark of the first is forgotten when the second arrives: the effect happens twice."""
+    """The idempotency key of the first is forgotten when the second arrives: the effect happened twice."""
     first, late = Holder(), Late()
     with node(
         tmp_path, [first, late], limits={"connectTimeoutS": 20.0}, classes={"keyed": {"windowS": 0.5}}
@@ -114,11 +114,11 @@
     assert first.requests() == [A] and late.requests() == []
 
 
-# -- this process stood still
+# -- this process was paused
 
 
 def test_what_arrived_in_a_pause_is_read_before_its_connection_counts_as_idle(tmp_path):
-    """Danger: timers come first after a stall: an idle connection was closed with a request unread on it."""
+    """Timers come first after a pause: an idle connection was closed with a request unread on it."""
     executor = Executor()
     with node(tmp_path, [executor]) as n:
         idle, half = n.client(), n.client()
@@ -137,16 +137,16 @@
         n.events()
 
 
-def skilled(n, slow_s):
+def warm_up_both(n, slow_s):
     """Both executors have served the function, slowly: a second attempt is worth it, and not due at once."""
     client = n.client()
     until(lambda: n.bus.resumed)
     for number in (1, 2):
         n.bus.tell(*(record(i, e.port, state=int(i != number)) for i, e in enumerate(n.executors, 1)))
-        time.sleep(0.2)  # told in the next 20 ms
+        time.sleep(0.2)  # the event comes in the next 20 ms
         id = f"{100 + number:016x}"
         client.say(request(number, call=id, ttl=4000))
-        executor, _ = where(n, id)
+        executor, _ = holder_of(n, id)
         time.sleep(slow_s)
         executor.fulfil(bytes.fromhex(id))
         client.hear()
@@ -154,19 +154,19 @@
     time.sleep(0.2)
 
 
-def where(n, id):
-    """Which executor holds it, and the other one."""
+def holder_of(n, id):
+    """The executor on which it is in flight, and the other one."""
     until(lambda: any(bytes.fromhex(id) in e.held for e in n.executors))
     return sorted(n.executors, key=lambda e: bytes.fromhex(id) not in e.held)
 
 
 def test_no_second_attempt_after_a_pause_for_a_client_that_left_in_it(tmp_path):
-    """Danger: timers come first after a stall: a second attempt began for a client whose close lay unread."""
+    """Timers come first after a pause: a second attempt began for a client whose close lay unread."""
     with node(tmp_path, [Holder(), Holder()], known=(1, 2), classes={"safe": {"aimS": 3.0}}) as n:
-        skilled(n, 0.3)
+        warm_up_both(n, 0.3)
         client = n.client()
         client.say(request(1, call=A, ttl=4000))
-        _, other = where(n, A)
+        _, other = holder_of(n, A)
         n.stopped()
         client.sock.close()
         client.file.close()
@@ -180,10 +180,10 @@
 def test_a_second_attempt_begins_where_the_client_stays(tmp_path):
     """The test above proves nothing if none would have begun."""
     with node(tmp_path, [Holder(), Holder()], known=(1, 2), classes={"safe": {"aimS": 3.0}}) as n:
-        skilled(n, 0.3)
+        warm_up_both(n, 0.3)
         client = n.client()
         client.say(request(1, call=A, ttl=4000))
-        _, other = where(n, A)
+        _, other = holder_of(n, A)
         until(lambda: A in other.requests())
         other.fulfil(bytes.fromhex(A))
         assert "result" in client.hear()
@@ -208,7 +208,7 @@
 
 
 def test_answers_that_a_slow_client_has_not_read_are_flushed_before_the_exit(tmp_path):
-    """Danger: what lay in a transport's buffer 50 ms after the last answer ended with the process."""
+    """What lay in a transport's buffer 50 ms after the last answer ended with the process."""
     holder = Holder()
     with node(tmp_path, [holder]) as n:
         client = Client(n.address, window=1 << 16)
@@ -257,7 +257,7 @@
 
 
 def test_sigterm_before_the_reactor_runs_drains(tmp_path):
-    """Danger: since it listens clients may have asked, and by default SIGTERM ends the process at once."""
+    """Clients may have sent requests since it listens, and by default SIGTERM ends the process at once."""
     executor, bus = Executor(), Bus()
     address, path = spare(), tmp_path / "config.json"
     path.write_bytes(configuration(address, bus.address, ((1, executor.port),)))
@@ -315,7 +315,7 @@
 
 
 def test_nothing_of_another_tenants_configuration_is_used(tmp_path):
-    """Danger: its bus names another tenant's executors, in zones and kinds that mean others here."""
+    """Its event bus names another tenant's executors, in zones and machine types that mean others here."""
     executor, other = Executor(), Bus()
     foreign = copy.deepcopy(SETTINGS)
     foreign["classes"] = [{**foreign["classes"][0], "name": "theirs"}]
@@ -376,7 +376,7 @@
 # -- a thousand of each
 
 
-def ends(how, client, id, number):
+def end_request(how, client, id, number):
     """Ask, and end it in one of the ways."""
     line = request(number, call=id, ttl=4000)
     if how == "half a line, then a close":
@@ -414,7 +414,7 @@
         before = len(list(folder.iterdir()))
         if how in KINDS:
             for i in range(1000):
-                ends(how, n.client(), f"{i + 1:016x}", 1 + i)
+                end_request(how, n.client(), f"{i + 1:016x}", 1 + i)
         else:
             client = n.client()
             for first in range(1, 1001, 25):  # at once; what it is sent less for that is refused
--- a/tests/test_executor_pool.py
+++ b/tests/test_executor_pool.py
@@ -140,7 +140,7 @@
 
 
 def test_an_attempt_that_waited_for_a_dial_is_sent_only_if_still_allowed():
-    """Danger: decided up to a second ago: the client may have left, the executor drain."""
+    """It was decided up to a second ago: the client may have left, the executor drain."""
     rig = Rig()
     for serial in (1, 2, 3):
         rig.send(serial)  # each with a dial of its own
@@ -171,7 +171,7 @@
 
 
 def test_a_late_answer_to_the_first_attempt_does_not_end_the_second():
-    """Danger: both attempts of one request carry its id."""
+    """Both attempts of one request carry its id."""
     rig = Rig(room=1)
     connection, pipe = rig.up()
     rig.send(5, 0)
@@ -211,7 +211,7 @@
     connection.dataReceived(whole[:30])
     rig.clock.advance(
         executor_connection.PARTIAL_ANSWER_TIMEOUT_MS / 1e3
-    )  # this process stood still: the rest lies unread
+    )  # this process was paused: the rest lies unread
     connection.dataReceived(whole[30:])
     assert rig.ended() == [((1, 0), Outcome.SUCCEEDED)]
     rig.send(2)
@@ -221,7 +221,7 @@
 
 
 def test_a_silent_machine_costs_one_timeout():
-    """Danger: a machine that vanished says nothing; idle connections to it look as good as new."""
+    """A machine that vanished sends nothing; idle connections to it look healthy."""
     rig = Rig()
     up = rig.fill(1, 2)
     up[1][0].dataReceived(answer(100, call(2)))
@@ -304,7 +304,7 @@
 
 
 def test_abandoned_ids_are_bounded():
-    """Danger: they are kept for as long as the connection lives."""
+    """They are remembered for as long as the connection is open."""
     rig = Rig()
     connection, pipe = rig.up()
     for serial in range(executor_connection.ABANDONED_IDS_BOUND):
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.EPROTO], ids=["EMFILE", "EPROTO"])
 def test_each_request_is_answered_while_accept_fails(tmp_path, failing, error):
-    """Danger: out of descriptors for a moment, connections were taken on a spare one and closed."""
+    """Out of descriptors for a moment, connections were accepted on a reserved one and closed."""
     with node(tmp_path, [Executor()], failing=failing) as n:
         answered, events = connect_and_ask(n, failing, error)
     assert answered == REQUESTS
@@ -149,7 +149,7 @@
 @pytest.mark.parametrize("kind", STARTS)
 @pytest.mark.parametrize("times", [1, 12])
 def test_a_start_waits_for_a_system_that_is_short(tmp_path, failing, kind, times):
-    """Danger: one call that failed for a moment refused the start."""
+    """One call that failed for a moment ended the start."""
     call, error = STARTS[kind]
     failing.fail(call, error, 1000, times)
     with node(tmp_path, [Executor()], failing=failing) as n:
@@ -163,7 +163,7 @@
 
 
 def test_idle_clients_that_fill_the_descriptors_keep_nobody_out(tmp_path):
-    """The system's own limit under the one told, discovery up and down."""
+    """The system's own limit is under the configured one; the event bus up and down."""
     with node(tmp_path, [Executor()], before="ulimit -n 100; ") as n:
         idle = []
         for up in (True, False):
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize("error", [errno.EIO, errno.EMFILE, errno.ENOENT], ids=errno.errorcode.get)
 def test_a_configuration_that_can_not_be_read_for_a_moment_is_read_again(tmp_path, failing, error):
-    """Danger: it went on with the discovery that the old one names, which then goes away."""
+    """It went on with the event bus that the old one names, which then goes away."""
     second = Bus()
     with contextlib.closing(second), node(tmp_path, [Executor()], failing=failing) as n:
         n.write(second)
@@ -217,7 +217,7 @@
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO, errno.EPIPE], ids=errno.errorcode.get)
 def test_a_log_that_can_not_be_written_stops_nothing(tmp_path, failing, error):
-    """Danger: the exception ended the connection, or the turn, in which something was logged."""
+    """The exception ended the connection, or the turn, in which something was logged."""
     with node(tmp_path, [Executor()], failing=failing) as n:
         failing.fail("write", error)
         client = n.client()
@@ -239,7 +239,7 @@
 
 
 def test_a_port_for_datagrams_stays_when_a_read_fails():
-    """Danger: membership was deaf for good after one error."""
+    """Membership received nothing any more after one error."""
     reactor = MemoryReactorClock()
     heard = []
     port = DatagramPort(0, SimpleNamespace(datagramReceived=lambda data, to: heard.append(data)), "", reactor)
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -1,4 +1,4 @@
-"""The real process from `run`'s command, with scripted stand-ins on loopback: counts, order, exit code."""
+"""The real process from `run`'s command, with scripted fakes on loopback: counts, order, exit code."""
 
 import json
 import os
@@ -28,18 +28,18 @@
         for number, method in enumerate(("safe", "keyed", "once"), 1):
             client.say(request(number, method, call=f"{number:016x}", body=b"abc"))
             assert client.hear() == {"jsonrpc": "2.0", "id": number, "result": {"bytes": "Y2Jh"}}
-        sent = [told for told in executor.told if told[0] == 10]
-        assert [told[1] for told in sent] == [number.to_bytes(8, "big") for number in (1, 2, 3)]
-        assert ["once" in told[2] for told in sent] == [False, True, False]
+        sent = [command for command in executor.told if command[0] == 10]
+        assert [command[1] for command in sent] == [number.to_bytes(8, "big") for number in (1, 2, 3)]
+        assert ["once" in command[2] for command in sent] == [False, True, False]
 
         for bad in (b"\x00\xff nonsense\n", b"{" * 100_000, request(1, call="zz") * 40):
-            rude = Client(address)
+            faulty = Client(address)
             try:
-                rude.say(bad)
+                faulty.say(bad)
             except ConnectionError:
                 pass  # closed already: that is an answer too
-            while (heard := rude.hear_or_closed()) is not None:
-                assert "error" in heard
+            while (reply := faulty.hear_or_closed()) is not None:
+                assert "error" in reply
 
         write(second)
         process.send_signal(signal.SIGHUP)
@@ -54,9 +54,9 @@
         client.say(request(5, call=f"{5:016x}", body=b"abc"))
         assert client.hear()["id"] == 5
         assert client.hear() is None
-        said, _ = process.communicate(timeout=WAIT_S)
+        output, _ = process.communicate(timeout=WAIT_S)
         assert process.returncode == 0
-        events = [json.loads(line)["event"] for line in said.splitlines()]
+        events = [json.loads(line)["event"] for line in output.splitlines()]
         assert events[0] == "front end started" and events[-1] == "front end stopped"
         assert events.count("configuration reloaded") == 1
         assert events.count("configuration rejected") == 1
@@ -64,21 +64,21 @@
         if process.poll() is None:
             process.kill()
             process.communicate()
-        for standin in (executor, first, second):
-            standin.close()
+        for fake in (executor, first, second):
+            fake.close()
     assert threading.active_count() == 1
 
 
 def test_out_of_descriptors_it_stays_up_and_serves_again(tmp_path):
-    """Danger: a process that can't accept any more must neither end nor turn round at full speed for good."""
+    """A process that can't accept any more must neither end nor spin for good."""
     executor, bus = Executor(), Bus()
     address, path = spare(), tmp_path / "config.json"
     path.write_bytes(configuration(address, bus.address, ((1, executor.port),), sockets=1024))
-    process = start(path, "ulimit -n 40; ")  # fewer than it is told of
+    process = start(path, "ulimit -n 40; ")  # fewer than are configured
     try:
         until(lambda: serving(address))
-        crowd = [Client(address) for _ in range(80)]
-        for client in crowd:  # each is closed in the end: as silent, or by the reserve
+        clients = [Client(address) for _ in range(80)]
+        for client in clients:  # each is closed in the end: as silent, or by the reserve
             assert client.hear_or_closed() is None
         until(lambda: serving(address))
         client = Client(address)
@@ -98,7 +98,7 @@
 
 
 def test_run_starts_one_process_that_sleeps(tmp_path):
-    """The standing test's bench preloads a library into `run` and refuses it all else. Danger: a shell in
+    """The standing test's bench preloads a library into `run` and refuses it all else. A shell in
     between, a child, a Unix socket or a thread that spins, and no day of it can be played."""
     executor, bus = Executor(), Bus()
     address, path = spare(), tmp_path / "config.json"
@@ -118,8 +118,8 @@
         assert [task.joinpath("children").read_text() for task in tasks] == [""] * len(tasks)
         # a thread that spins is never seen asleep
         until(lambda: all(t.joinpath("stat").read_text().rpartition(")")[2].split()[0] == "S" for t in tasks))
-        held = [os.readlink(fd) for fd in proc.joinpath("fd").iterdir()]
-        own = {name[8:-1] for name in held if name.startswith("socket:")}
+        open_files = [os.readlink(fd) for fd in proc.joinpath("fd").iterdir()]
+        own = {name[8:-1] for name in open_files if name.startswith("socket:")}
         assert len(own) >= 3 and own <= sockets(process.pid, "tcp")  # over IPv4: listener, bus, executor
         assert not own & sockets(process.pid, "unix")
     finally:
@@ -142,9 +142,9 @@
         if data is not None:
             path.write_bytes(data)
         process = start(path)
-        said, _ = process.communicate(timeout=WAIT_S)
+        output, _ = process.communicate(timeout=WAIT_S)
         assert process.returncode == 2
-        (line,) = said.decode().splitlines()
+        (line,) = output.decode().splitlines()
         assert where in line and str(path) in line
 
 
@@ -156,5 +156,7 @@
         "print([m for m in ('numpy', 'scipy', 'matplotlib', 'textual', '_jsonnet', 'twisted.web', 'h11',"
         " 'jinja2', 'psutil', 'prometheus_client') if m in sys.modules])"
     )
-    said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert said.stdout.strip() == "[]"
+    output = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert output.stdout.strip() == "[]"
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -109,7 +109,7 @@
 
 
 def test_an_abandoned_request_is_answered_at_once():
-    """Danger: an answer held back on its way out, towards the client's limit (1,500 ms), so that the client
+    """An answer must not be delayed on its way out, towards the client's limit (1,500 ms), so that the client
     does not ask again. Each comes in the turn in which the executor's word does, with a time to come back."""
     # request class, the executor's word, the error, has a time to come back
     for method, code, expected, told in (
@@ -192,7 +192,7 @@
 
 
 def test_a_rejected_configuration_is_counted_and_logged_once():
-    """Danger: a day of SIGHUPs with a bad file floods the log, or settings change without a word."""
+    """A day of SIGHUPs with a bad file must not flood the log, nor settings change unlogged."""
     rig = Rig()
     client, pipe = rig.client()
     good = rig.file
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -10,20 +10,20 @@
 
 
 def test_configuration():
-    told = read_configuration(configuration())
-    assert (told.name, told.address, told.port, told.event_bus) == (
+    found = read_configuration(configuration())
+    assert (found.name, found.address, found.port, found.event_bus) == (
         "n0",
         "127.0.0.1",
         8443,
         ("127.0.0.1", 7070),
     )
-    assert (told.seed, told.sockets) == (0x8C1F30D27A5BE964, 256)
-    assert [t.idempotency for t in told.terms.request_classes] == [
+    assert (found.seed, found.sockets) == (0x8C1F30D27A5BE964, 256)
+    assert [t.idempotency for t in found.terms.request_classes] == [
         Idempotency.IDEMPOTENT,
         Idempotency.KEYED,
         Idempotency.NON_IDEMPOTENT,
     ]
-    assert (told.terms.streams, told.terms.connect_ms, told.terms.idle_ms) == (4, 250.0, 30_000.0)
+    assert (found.terms.streams, found.terms.connect_ms, found.terms.idle_ms) == (4, 250.0, 30_000.0)
     table = [
         (b"{", "not JSON"),
         (b"[]", "one object"),
@@ -42,21 +42,21 @@
             read_configuration(data)
 
 
-def without(told, *path):
+def without(settings, *path):
     """The same settings with one key gone."""
     key, rest = path[0], path[1:]
     if not rest:
-        return {k: v for k, v in told.items() if k != key}
-    if type(told[key]) is list:
-        return {**told, key: [without(told[key][0], *rest), *told[key][1:]]}
-    return {**told, key: without(told[key], *rest)}
+        return {k: v for k, v in settings.items() if k != key}
+    if type(settings[key]) is list:
+        return {**settings, key: [without(settings[key][0], *rest), *settings[key][1:]]}
+    return {**settings, key: without(settings[key], *rest)}
 
 
 def test_unusable_settings_are_rejected():
-    """Danger: a missing or misread setting changes decisions without a word. Found by asking the module:
+    """A missing or misread setting changes decisions silently. Found by asking the router:
     without keepS each resume is empty after a second, with sendCap -3 all is rejected."""
 
-    def told(part=None, **more):
+    def changed(part=None, **more):
         if part is None:
             return {**SETTINGS, **more}
         if part == "classes":
@@ -67,34 +67,34 @@
         ([], "settings: found"),
         (None, "settings: found"),
         ({}, "settings.classes: found nothing"),
-        (told(classes=[]), "settings.classes"),
-        (told(classes={"a": 1}), "settings.classes"),
-        (told(classes=[7]), r"settings.classes\[0\]"),
-        (told(classes=SETTINGS["classes"] * 2), "differ"),
-        (told("classes", effect="odd"), r"classes\[0\].effect: found 'odd'; allowed: one of retryable"),
-        (told("classes", effect=None), "effect"),
-        (told("classes", dedupScope="row"), "dedupScope"),
-        (told("classes", aimS="1.0"), "aimS"),
-        (told("classes", aimS=-1.0), "aimS"),
-        (told("classes", aimS=0), "aimS"),
-        (told("classes", aimS=float("nan")), "aimS"),
-        (told("classes", deadlineS=float("inf")), "deadlineS"),
-        (told("classes", deadlineS=True), "deadlineS"),
-        (told("classes", windowS=[4]), "windowS"),
-        (told("classes", name=""), "name"),
-        (told(orgs=[{"name": "a", "quotaRps": -5}]), r"orgs\[0\].quotaRps"),
-        (told(orgs=[{}]), "name"),
-        (told(peersTotal=0), "peersTotal"),
-        (told(zone=2), "settings.zone"),
-        (told(zones="east"), "zones"),
-        (told("limits", sendCap=-3), "sendCap"),
-        (told("limits", sendCap=1.5), "sendCap"),
-        (told("limits", secondCopies="no"), "secondCopies"),
-        (told("limits", multiplex=0), "multiplex"),
-        (told("familyInfo", notLoaded="queue"), "notLoaded"),
-        (told("familyInfo", keepS="8"), "keepS"),
-        (told("invariants", startCapacity=1.2), "startCapacity"),
-        (told(invariants=None), "settings.invariants"),
+        (changed(classes=[]), "settings.classes"),
+        (changed(classes={"a": 1}), "settings.classes"),
+        (changed(classes=[7]), r"settings.classes\[0\]"),
+        (changed(classes=SETTINGS["classes"] * 2), "differ"),
+        (changed("classes", effect="odd"), r"classes\[0\].effect: found 'odd'; allowed: one of retryable"),
+        (changed("classes", effect=None), "effect"),
+        (changed("classes", dedupScope="row"), "dedupScope"),
+        (changed("classes", aimS="1.0"), "aimS"),
+        (changed("classes", aimS=-1.0), "aimS"),
+        (changed("classes", aimS=0), "aimS"),
+        (changed("classes", aimS=float("nan")), "aimS"),
+        (changed("classes", deadlineS=float("inf")), "deadlineS"),
+        (changed("classes", deadlineS=True), "deadlineS"),
+        (changed("classes", windowS=[4]), "windowS"),
+        (changed("classes", name=""), "name"),
+        (changed(orgs=[{"name": "a", "quotaRps": -5}]), r"orgs\[0\].quotaRps"),
+        (changed(orgs=[{}]), "name"),
+        (changed(peersTotal=0), "peersTotal"),
+        (changed(zone=2), "settings.zone"),
+        (changed(zones="east"), "zones"),
+        (changed("limits", sendCap=-3), "sendCap"),
+        (changed("limits", sendCap=1.5), "sendCap"),
+        (changed("limits", secondCopies="no"), "secondCopies"),
+        (changed("limits", multiplex=0), "multiplex"),
+        (changed("familyInfo", notLoaded="queue"), "notLoaded"),
+        (changed("familyInfo", keepS="8"), "keepS"),
+        (changed("invariants", startCapacity=1.2), "startCapacity"),
+        (changed(invariants=None), "settings.invariants"),
         *(
             (without(SETTINGS, *path), f"{path[-1]}: found nothing")
             for path in (
@@ -121,6 +121,6 @@
     assert read_terms(SETTINGS).request_classes
     # what the wire page says may be missing, and keys that it does not name
     assert read_terms(without(SETTINGS, "orgs")).tenants == []
-    assert read_terms(told(later={"x": 1})) == read_terms(SETTINGS)
-    assert read_terms(told(orgs=None)).tenants == []  # null stands for an absent value
-    assert read_terms(told("limits", probes=None)).capabilities.probes is False
+    assert read_terms(changed(later={"x": 1})) == read_terms(SETTINGS)
+    assert read_terms(changed(orgs=None)).tenants == []  # null stands for an absent value
+    assert read_terms(changed("limits", probes=None)).capabilities.probes is False
--- a/tests/test_settled_closes.py
+++ b/tests/test_settled_closes.py
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("kind", BAD_LINES)
 def test_an_open_request_gets_its_answer_whatever_its_client_sends_next(tmp_path, kind):
-    """Danger: one more line on the connection closed it, and the open request got no answer at all."""
+    """One more line on the connection closed it, and the open request got no answer at all."""
     holder = Holder()
     with node(tmp_path, [holder]) as n:
         client = n.client()
