--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -72,7 +72,7 @@
         check(client)
         n.bus.tell(record(1, late.port, state=1))
         until(lambda: n.bus.resumed)
-        time.sleep(0.1)  # the event comes in the next 20 ms; the connection comes up no sooner than in some hundred
+        time.sleep(0.1)  # the event comes within 20 ms, the connection after some hundred
         late.open()
         assert client.hear()["error"]["code"] == -32014  # it never ran
         n.events()
