--- a/petrelway/node/__init__.py
+++ b/petrelway/node/__init__.py
@@ -1,1 +1,1 @@
-"""The front end on the platform's protocol: door, links, bus follower, service."""
+"""The front end on the platform's protocol: clients, admission, executors, discovery, and its lifecycle."""
--- a/petrelway/node/client_connection.py
+++ b/petrelway/node/client_connection.py
@@ -32,7 +32,7 @@
 
 
 class ClientConnectionProtocol(protocol.Protocol):
-    """One client's connection. As a push producer it is told when the client stops reading its answers."""
+    """One client's connection. As a push producer it learns when the client stops reading."""
 
     def __init__(self, listener: ClientListener) -> None:
         """Start reading at the given listener."""
--- a/petrelway/node/configuration_reload.py
+++ b/petrelway/node/configuration_reload.py
@@ -58,7 +58,7 @@
         event_bus_named: Callable[[Endpoint], None],
         is_stopping: Callable[[], bool],
     ) -> None:
-        """`read` gives the file's bytes and raises OSError; `event_bus_named` is told the endpoint in use."""
+        """`read` gives the file's bytes and raises OSError; `event_bus_named` receives the endpoint."""
         self.clock = clock
         self.log = log
         self.current = current
--- a/petrelway/node/executor_connection.py
+++ b/petrelway/node/executor_connection.py
@@ -20,7 +20,7 @@
 from ..routing.types import Outcome, Warmth
 
 if TYPE_CHECKING:
-    from .executor_pool import ExecutorPool
+    from .connection_set import ConnectionSet
 
 PARTIAL_ANSWER_TIMEOUT_MS = 300.0  # an answer that began and has not ended for so long ends its connection
 RECHECK_DELAY_MS = 20.0  # an answer that seems stuck is checked again after so long
@@ -35,9 +35,9 @@
 
 
 class ExecutorConnectionProtocol(protocol.Protocol):
-    """One connection, from the dial on. As a push producer it is told when its buffer is full."""
+    """One connection, from the dial on. As a push producer it learns when its buffer is full."""
 
-    def __init__(self, pool: ExecutorPool, now: float) -> None:
+    def __init__(self, pool: ConnectionSet, now: float) -> None:
         """Start with nothing in flight; the pool dials."""
         self.pool = pool
         self.ledger = Ledger(pool.streams)
