--- /dev/null
+++ b/tests/test_client_connections.py
@@ -0,0 +1,413 @@
+"""Client connections in memory: usual clients, faulty ones, and how they affect each other."""
+
+import json
+
+from doubles import Log, Pipe, clock, lost
+
+from petrelway.fakes.platform_peers import CALL, request
+from petrelway.gateway.dispatcher import FAILED, REJECTED, SUCCEEDED, Answer, PendingAnswer
+from petrelway.node import client_connection, client_listener, connection_state
+from petrelway.node.client_listener import ClientListener
+from petrelway.node.connection_state import CloseReason
+from petrelway.platform import client_answers, client_codec
+
+READER = client_codec.ClientMessageReader(
+    [("safe", 4000.0, False), ("keyed", 4000.0, True)], ["acme", "bolt"]
+)
+
+
+class Rig:
+    def __init__(self, bound=100):
+        self.clock, self.log = clock(), Log()
+        self.submitted, self.cancelled, self.given_up, self.rejection_retry_ms = [], [], [], None
+        self.serving = True
+        self.listener = ClientListener(
+            READER,
+            self.submit,
+            lambda tenant: self.rejection_retry_ms,
+            lambda: self.serving,
+            self.clock,
+            self.log,
+            bound,
+            200.0,
+        )
+
+    def submit(self, opaque_request, request_class, tenant, remaining, work, memory, lanes, load):
+        def give_up():  # the host answers in its next turn
+            self.given_up.append(opaque_request.request_id)
+            self.clock.callLater(0, answer.callback, Answer(FAILED))
+
+        answer = PendingAnswer(lambda _: self.cancelled.append(opaque_request.request_id), give_up)
+        self.submitted.append((opaque_request, answer))
+        return answer
+
+    def client(self):
+        connection, pipe = self.listener.buildProtocol(None), Pipe()
+        connection.makeConnection(pipe)
+        return connection, pipe
+
+    def step(self, ms):
+        for _ in range(int(ms / 10)):
+            self.clock.advance(0.01)
+
+    def turns(self):
+        while any(c.next_read for c in self.listener.connections):
+            self.clock.advance(0)
+
+
+def replies(pipe):
+    return [json.loads(line) for line in pipe.take().splitlines()]
+
+
+def call(i):
+    return f"{i:016x}"
+
+
+def test_each_answer_goes_out_at_once_in_any_order():
+    rig = Rig()
+    client, pipe = rig.client()
+    client.dataReceived(b"".join(request(i, call=call(i)) for i in (1, 2, 3)))
+    answers = ((1, Answer(REJECTED, 120.0)), (0, Answer(SUCCEEDED, body=b"ok")), (2, Answer(FAILED)))
+    for i, answer in answers:
+        rig.submitted[i][1].callback(answer)
+    rejected, succeeded, broken = replies(pipe)
+    assert rejected == {
+        "jsonrpc": "2.0",
+        "id": 2,
+        "error": {"code": -32014, "message": "nacked", "data": {"pushback": 120}},
+    }
+    assert succeeded == {"jsonrpc": "2.0", "id": 1, "result": {"bytes": "b2s="}}
+    assert broken["id"] == 3 and broken["error"]["code"] != -32014
+    assert not client.state.open_requests and not rig.listener.open_requests
+
+
+def test_check_says_whether_it_serves():
+    rig = Rig()
+    client, pipe = rig.client()
+    for rig.serving in (True, False):
+        client.dataReceived(b'{"jsonrpc":"2.0","id":1,"method":"check"}\n')
+    assert [s["result"]["serving"] for s in replies(pipe)] == [True, False]
+
+
+def test_no_answer_is_written_for_a_cancelled_request_or_a_lost_connection():
+    rig = Rig()
+    client, pipe = rig.client()
+    client.dataReceived(request(1, call=call(1)) + request(2, call=call(2)))
+    client.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}\n' % call(1).encode())
+    assert rig.cancelled == [bytes.fromhex(call(1))] and pipe.take() == b""
+    client.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}\n' % call(9).encode())
+    client.connectionLost(lost())
+    assert (
+        len(rig.cancelled) == 2
+        and pipe.take() == b""
+        and not rig.listener.open_requests
+        and not rig.listener.connections
+    )
+
+
+def test_an_invalid_request_gets_an_error_and_the_others_go_on():
+    rig = Rig()
+    client, pipe = rig.client()
+    client.dataReceived(request(1, call=call(1)) + request(2, call="xyz") + request(3, "nobody"))
+    assert [(s["id"], s["error"]["code"]) for s in replies(pipe)] == [
+        (2, client_answers.ErrorCode.INVALID_PARAMS),
+        (3, client_answers.ErrorCode.METHOD_NOT_FOUND),
+    ]
+    assert len(rig.submitted) == 1 and not pipe.closed
+    for i in range(connection_state.ERRORS_BOUND):  # one that keeps on is closed
+        client.dataReceived(request(10 + i, call="xyz"))
+        rig.turns()
+    rig.clock.advance(0)
+    assert pipe.closed and rig.given_up == [bytes.fromhex(call(1))] and not rig.cancelled
+    assert replies(pipe)[-1] == {
+        "jsonrpc": "2.0",
+        "id": 1,
+        "error": {"code": client_answers.ErrorCode.FAILED, "message": "broken off"},
+    }
+
+
+def test_input_that_cannot_be_delimited_closes_the_connection():
+    table = [
+        b"nonsense\n",
+        b"x" * (client_codec.LINE_BOUND + 1),
+        request(1, call=call(1)) + request(1, call=call(2)),  # two requests under one number ...
+        request(1, call=call(1))
+        + request(1, call="xyz"),  # ... of which the second can't be submitted anyway
+        request(1, call=call(1)) + request(2, call=call(1), body=b"other"),  # an open id, another body
+    ]
+    for data in table:
+        rig = Rig()
+        client, pipe = rig.client()
+        client.dataReceived(data)
+        (reply,) = replies(pipe)
+        assert reply["error"] and reply["id"] in (None, 2), data[:60]  # never as 1's answer
+        assert not pipe.closed or not rig.submitted  # what is open is answered first
+        rig.clock.advance(0)
+        assert [h["id"] for h in replies(pipe)] == [1] * len(
+            rig.submitted
+        )  # its one answer: given up, not served
+        assert pipe.closed and len(rig.given_up) == len(rig.submitted) and not client.state.open_requests
+        client.dataReceived(b"x" * 1000)  # what follows is dropped, and its close is still seen
+        assert not pipe.aborted and len(client.lines.buffered) <= len(data)
+        client.dataReceived(b"x" * 10_000_000)  # 60 MB may follow: nothing is collected
+        assert pipe.aborted and len(client.lines.buffered) <= len(data)
+
+
+def test_a_connection_ended_for_an_error_that_stays_open_is_aborted():
+    rig = Rig()
+    client, pipe = rig.client()
+    client.dataReceived(b"nonsense\n")
+    rig.step(client_connection.ABORT_TIMEOUT_MS - 50)
+    assert pipe.closed and not pipe.aborted
+    rig.step(100)
+    assert pipe.aborted
+
+
+def test_a_close_while_a_connection_settles_cancels_its_requests():
+    rig = Rig()
+    client, pipe = rig.client()
+    client.dataReceived(request(1, call=call(1)) + b"nonsense\n")
+    client.connectionLost(lost())
+    assert (
+        rig.cancelled == [bytes.fromhex(call(1))]
+        and not rig.listener.open_requests
+        and not rig.listener.connections
+    )
+
+
+def test_an_empty_line_is_not_a_message():
+    rig = Rig()
+    client, pipe = rig.client()
+    client.dataReceived(request(1, call=call(1)) + b"\n\r\n\n" + request(2, call=call(2)))
+    assert len(rig.submitted) == 2 and pipe.take() == b"" and not client.state.errors
+    newlines, pipe = rig.client()
+    for _ in range(30):  # nor a word: one that says nothing else is closed as silent
+        newlines.dataReceived(b"\n" * 100)
+        rig.step(100)
+    assert pipe.closed and rig.listener.counts[CloseReason.SILENT] == 1
+
+
+def test_an_interrupt_without_a_request_is_an_error_that_closes_nothing():
+    rig = Rig()
+    client, pipe = rig.client()
+    client.dataReceived(request(1, call=call(1)))
+    client.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{}}\n')
+    (reply,) = replies(pipe)
+    assert reply["id"] is None and reply["error"]["code"] == client_answers.ErrorCode.INVALID_PARAMS
+    client.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}\n' % call(9).encode())
+    assert not pipe.closed and not rig.cancelled and pipe.take() == b""
+    rig.submitted[0][1].callback(Answer(SUCCEEDED, body=b"ok"))
+    assert replies(pipe)[0]["id"] == 1
+
+
+def test_a_repeated_request_id_does_not_affect_the_client_that_has_it_open():
+    rig = Rig()
+    usual, pipe = rig.client()
+    usual.dataReceived(request(1, call=CALL))
+    bad, bad_pipe = rig.client()
+    bad.dataReceived(request(1, call=CALL, body=b"other"))
+    assert (
+        replies(bad_pipe)[0]["error"]["code"] == client_answers.ErrorCode.INVALID_PARAMS
+        and not rig.cancelled
+        and not bad_pipe.closed
+    )
+    third, _ = rig.client()
+    third.dataReceived(request(1, call=call(2)))
+    third.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}\n' % CALL.encode())
+    assert not rig.cancelled  # neither theirs nor its own under the same number
+    bad.connectionLost(lost())
+    rig.submitted[0][1].callback(Answer(SUCCEEDED, body=b"ok"))
+    assert replies(pipe)[0]["result"] == {"bytes": "b2s="}
+
+
+def test_a_number_is_accepted_once_in_bounded_memory():
+    rig = Rig()
+    client, pipe = rig.client()
+    for i in range(1, 3001):
+        client.dataReceived(request(i, call=call(i)))
+        rig.turns()
+        rig.submitted.pop()[1].callback(Answer(SUCCEEDED))
+    assert not client.state.used_numbers.above and not pipe.closed
+    client.dataReceived(request(17, call=call(9999)))
+    assert pipe.closed
+    used = connection_state.UsedNumbers(100)
+    for number in range(1, 100_000, 7):
+        assert used.add(number)
+    assert len(used.above) <= 101 and not used.add(8)
+
+
+def test_a_flood_on_one_connection_takes_turns_with_the_others():
+    rig = Rig()
+    flooding, flooding_pipe = rig.client()
+    flooding.dataReceived(b"".join(request(i, call=call(i)) for i in range(1, 301)))
+    assert len(rig.submitted) == client_connection.LINES_PER_TURN and not flooding_pipe.reading
+    usual, _ = rig.client()
+    usual.dataReceived(request(1, call=CALL))
+    assert rig.submitted[-1][0].request_id.hex() == CALL  # served before the rest of the flood is read
+    rig.turns()
+    rig.clock.advance(0)
+    bound = connection_state.OPEN_REQUESTS_BOUND
+    assert len(rig.submitted) == 1 + bound and len(rig.given_up) == bound and not rig.cancelled
+    answered = [reply["id"] for reply in replies(flooding_pipe)]
+    assert sorted(answered)[: bound + connection_state.ERRORS_BOUND] == list(
+        range(1, bound + connection_state.ERRORS_BOUND + 1)
+    )
+    assert flooding_pipe.closed and len(usual.state.open_requests) == 1
+
+
+def test_silent_partial_and_idle_connections_are_closed():
+    rig = Rig()
+    silent, partial, idle, at_work, stuck = (rig.client() for _ in range(5))
+    partial[0].dataReceived(request(1)[:-1])
+    for client, number in ((idle, 1), (at_work, 2), (stuck, 3)):
+        client[0].dataReceived(request(1, call=call(number)))
+    stuck[0].dataReceived(b"{")
+    rig.submitted[0][1].callback(Answer(SUCCEEDED))
+    rig.step(connection_state.SILENCE_TIMEOUT_MS + client_listener.SWEEP_INTERVAL_MS + 50)
+    assert [c[1].closed for c in (silent, partial, stuck, idle, at_work)] == [True, True, False, False, False]
+    assert (
+        connection_state.SILENCE_TIMEOUT_MS
+        + client_listener.SWEEP_INTERVAL_MS
+        + client_listener.RECHECK_DELAY_MS
+        < 3000.0
+    )
+    rig.step(connection_state.IDLE_TIMEOUT_MS)
+    assert idle[1].closed and not at_work[1].closed and not stuck[1].closed  # not with a request open there
+    rig.submitted[2][1].callback(Answer(SUCCEEDED))
+    rig.step(connection_state.SILENCE_TIMEOUT_MS + client_listener.SWEEP_INTERVAL_MS + 50)
+    assert stuck[1].closed and rig.listener.counts[CloseReason.PARTIAL_LINE] == 2
+
+
+def test_the_longest_silent_are_evicted_first():
+    rig = Rig(bound=16)
+    first = rig.client()
+    first[0].dataReceived(request(1))
+    silent = [rig.client() for _ in range(13)]
+    rig.step(200)
+    for evicted in (1, 2):  # into the part that is kept free: as many of the others go
+        rig.client()
+        rig.step(10)
+        assert [pipe.closed for _, pipe in silent] == [True] * evicted + [False] * (13 - evicted)
+        silent[evicted - 1][0].connectionLost(lost())
+    while rig.listener.has_capacity():  # many at once: nobody is accepted past the bound
+        rig.client()
+    assert len(rig.listener.connections) == 16
+    rig.step(10)
+    assert sum(pipe.closed for _, pipe in silent) == 4 and not first[1].closed
+
+
+def test_connections_without_a_line_are_evicted_before_idle_ones():
+    rig = Rig(bound=8)
+    spoke = [rig.client() for _ in range(3)]
+    for number, (client, _) in enumerate(spoke, 1):
+        client.dataReceived(request(1, call=call(number)))
+        rig.submitted[-1][1].callback(Answer(SUCCEEDED))
+    rig.step(100)
+    silent = [rig.client() for _ in range(2)]
+    rig.step(200)
+    rig.listener.free_capacity()  # the system is short: some go whatever the bound says
+    rig.listener.evictions_wanted = 3
+    rig.step(10)
+    assert all(pipe.closed for _, pipe in silent)
+    assert [pipe.closed for _, pipe in spoke] == [True, False, False]
+
+
+def test_a_connection_with_an_unread_or_open_request_is_not_evicted():
+    """The newest connection was closed for want of capacity while its first request lay unread."""
+    rig = Rig(bound=3)
+    busy = [rig.client() for _ in range(2)]
+    for number, (client, _) in enumerate(busy, 1):
+        client.dataReceived(request(1, call=call(number)))
+    asking, pipe = rig.client()
+    rig.step(200)
+    pipe.doRead = lambda: asking.dataReceived(request(1, call=call(9)))  # it lies there unread
+    rig.listener.free_capacity()
+    rig.step(50)
+    pipe.doRead = lambda: None
+    rig.listener.free_capacity()
+    rig.step(50)
+    assert not pipe.closed and not any(p.closed for _, p in busy) and len(rig.submitted) == 3
+
+
+def test_a_connection_with_a_partial_request_is_not_evicted():
+    rig = Rig(bound=1)
+    client, pipe = rig.client()
+    client.dataReceived(request(1, call=call(1))[:40])
+    rig.step(200)
+    rig.listener.free_capacity()
+    rig.step(50)
+    assert not pipe.closed
+    client.dataReceived(request(1, call=call(1))[40:])
+    assert len(rig.submitted) == 1
+
+
+def test_a_client_that_does_not_read_its_answers_is_closed():
+    rig = Rig()
+    client, pipe = rig.client()
+    client.dataReceived(request(1))
+    client.pauseProducing()
+    rig.step(connection_state.UNREAD_TIMEOUT_MS + 300)
+    assert pipe.closed and rig.given_up and not rig.cancelled
+    assert [reply["id"] for reply in replies(pipe)] == [1]
+
+
+def test_a_client_that_does_not_read_its_answers_is_still_read_from():
+    """Otherwise its close and its `interrupt` would lie unread, and further attempts begin for nobody."""
+    rig = Rig()
+    client, pipe = rig.client()
+    client.dataReceived(request(1, call=call(1)) + request(2, call=call(2)))
+    client.pauseProducing()
+    assert pipe.reading
+    client.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}\n' % call(1).encode())
+    assert rig.cancelled == [bytes.fromhex(call(1))]
+    # no further work is done for it meanwhile, and its answers do not pile up without end
+    client.dataReceived(request(3, call=call(3)))
+    assert len(rig.submitted) == 2
+    assert replies(pipe)[-1]["error"] == {
+        "code": client_answers.ErrorCode.REJECTED,
+        "message": "nacked",
+        "data": {"pushback": 200},
+    }
+    for number in range(connection_state.UNREAD_LINES_BOUND - 1):  # two came before
+        assert not pipe.closed
+        client.dataReceived(b'{"jsonrpc":"2.0","id":%d,"method":"check"}\n' % (number + 4))
+    rig.clock.advance(0)
+    assert pipe.closed and len(rig.cancelled) == 1 and len(rig.given_up) == 1
+    assert rig.listener.counts[CloseReason.ANSWERS_UNREAD] == 1
+
+
+def test_a_timeout_is_checked_twice():
+    """After a pause of this process the sweep comes first and the sockets after it: a request that
+    lay unread all the while would be closed with no answer."""
+    rig = Rig()
+    silent, partial, clogged = (rig.client() for _ in range(3))
+    partial[0].dataReceived(request(1, call=call(1))[:50])
+    clogged[0].dataReceived(request(1, call=call(2)))
+    clogged[0].pauseProducing()
+    rig.clock.advance(10.0)  # one look, by a timer that is overdue; then what lay unread is read
+    silent[0].dataReceived(request(1, call=call(3)))
+    partial[0].dataReceived(request(1, call=call(1))[50:])
+    clogged[0].resumeProducing()
+    rig.step(client_listener.SWEEP_INTERVAL_MS + 100)
+    assert not any(pipe.closed for _, pipe in (silent, partial, clogged)) and len(rig.submitted) == 3
+
+
+def test_a_request_may_be_rejected_before_admission():
+    rig = Rig()
+    rig.rejection_retry_ms = 150.0
+    client, pipe = rig.client()
+    client.dataReceived(request(1))
+    assert (
+        replies(pipe)[0]["error"]["data"] == {"pushback": 150}
+        and not rig.submitted
+        and not client.state.open_requests
+    )
+
+
+def test_each_kind_of_rejected_line_is_logged_once():
+    rig = Rig()
+    for _ in range(20):
+        client, _ = rig.client()
+        client.dataReceived(request(1, call="x") + request(2, "nobody"))
+    assert rig.log.events() == ["client line rejected"] * 2
+    assert rig.listener.counts["client lines rejected"] == 40
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,6 @@
-"""What ends while something is still owed: the program itself, with stand-ins that force the bad order.
+"""What ends while requests are open: the program itself, with fakes that force the bad order.
 
-Each test holds, resets or stops one side at a named moment; what is judged is what arrived at the stand-ins
+Each test holds, resets or stops one side at a named moment; what is judged is what arrived at the fakes
 and clients. Times are waited for only where the program's own limit has to pass.
 """
 
@@ -32,7 +32,7 @@
 A, B, C = (f"{n:016x}" for n in (1, 2, 3))
 
 
-def leaves(client, how):
+def end_client(client, how):
     if how == "close":
         client.sock.shutdown(socket.SHUT_RDWR)
     else:
@@ -45,15 +45,15 @@
 
 @pytest.mark.parametrize("how", ["close", "interrupt"])
 @pytest.mark.parametrize("cancel", [False, True])
-def test_what_waited_for_a_connection_is_not_sent_on_for_a_client_that_left(tmp_path, how, cancel):
-    """Danger: where attempts can't be withdrawn, the frame went out all the same when the connection
-    came up, up to a second after the client had gone."""
+def test_an_attempt_that_waited_for_a_dial_is_not_sent_for_a_client_that_left(tmp_path, how, cancel):
+    """Where attempts can't be cancelled, the frame went out all the same when the connection
+    came up, up to a second after the client had left."""
     late = Late()
     with node(tmp_path, [late], limits={"connectTimeoutS": 20.0, "cancel": cancel}) as n:
         client, other = n.client(), n.client()
         client.say(request(call=A, ttl=4000))
         check(client)
-        leaves(client, how)
+        end_client(client, how)
         other.say(request(call=B, ttl=4000))
         check(other)
         late.open()
@@ -63,8 +63,8 @@
     assert late.requests() == [B]
 
 
-def test_what_waited_for_a_connection_is_not_sent_to_one_that_drains_since(tmp_path):
-    """Danger: an order to drain is kept by what is decided, and broken by what was decided before it."""
+def test_an_attempt_that_waited_for_a_dial_is_not_sent_to_a_draining_executor(tmp_path):
+    """A drain is respected by new decisions, and was broken by those made before it."""
     late = Late()
     with node(tmp_path, [late], limits={"connectTimeoutS": 20.0}) as n:
         client = n.client()
@@ -72,14 +72,14 @@
         check(client)
         n.bus.tell(record(1, late.port, state=1))
         until(lambda: n.bus.resumed)
-        time.sleep(0.1)  # told in the next 20 ms; the connection comes up no sooner than in some hundred
+        time.sleep(0.1)  # the event comes within 20 ms, the connection after some hundred
         late.open()
         assert client.hear()["error"]["code"] == -32014  # it never ran
         n.events()
     assert late.requests() == []
 
 
-def test_what_waited_says_how_long_the_client_waits_from_then(tmp_path):
+def test_an_attempt_that_waited_for_a_dial_carries_the_time_that_is_left(tmp_path):
     late = Late()
     with node(tmp_path, [late], limits={"connectTimeoutS": 20.0}) as n:
         client = n.client()
@@ -90,12 +90,12 @@
         late.open()
         assert "result" in client.hear()
         n.events()
-    ((_, _, fields, _),) = [told for told in late.told if told[0] == 10]
+    ((_, _, fields, _),) = [command for command in late.told if command[0] == 10]
     assert int(fields["wait"]) <= 3500
 
 
-def test_what_waited_past_the_window_against_repeats_is_not_repeated(tmp_path):
-    """Danger: the mark of the first is forgotten when the second arrives: the effect happens twice."""
+def test_an_attempt_that_waited_past_the_deduplication_window_is_not_repeated(tmp_path):
+    """The idempotency key of the first is forgotten when the second arrives: the effect happened twice."""
     first, late = Holder(), Late()
     with node(
         tmp_path, [first, late], limits={"connectTimeoutS": 20.0}, classes={"keyed": {"windowS": 0.5}}
@@ -114,11 +114,11 @@
     assert first.requests() == [A] and late.requests() == []
 
 
-# -- this process stood still
+# -- this process was paused
 
 
-def test_what_came_in_a_stall_is_read_before_its_connection_is_taken_for_idle(tmp_path):
-    """Danger: timers come first after a stall: an idle connection was closed with a request unread on it."""
+def test_what_arrived_in_a_pause_is_read_before_its_connection_counts_as_idle(tmp_path):
+    """Timers come first after a pause: an idle connection was closed with a request unread on it."""
     executor = Executor()
     with node(tmp_path, [executor]) as n:
         idle, half = n.client(), n.client()
@@ -137,16 +137,16 @@
         n.events()
 
 
-def skilled(n, slow_s):
+def warm_up_both(n, slow_s):
     """Both executors have served the function, slowly: a second attempt is worth it, and not due at once."""
     client = n.client()
     until(lambda: n.bus.resumed)
     for number in (1, 2):
         n.bus.tell(*(record(i, e.port, state=int(i != number)) for i, e in enumerate(n.executors, 1)))
-        time.sleep(0.2)  # told in the next 20 ms
+        time.sleep(0.2)  # the event comes in the next 20 ms
         id = f"{100 + number:016x}"
         client.say(request(number, call=id, ttl=4000))
-        executor, _ = where(n, id)
+        executor, _ = holder_of(n, id)
         time.sleep(slow_s)
         executor.fulfil(bytes.fromhex(id))
         client.hear()
@@ -154,19 +154,19 @@
     time.sleep(0.2)
 
 
-def where(n, id):
-    """Which executor holds it, and the other one."""
+def holder_of(n, id):
+    """The executor on which it is in flight, and the other one."""
     until(lambda: any(bytes.fromhex(id) in e.held for e in n.executors))
     return sorted(n.executors, key=lambda e: bytes.fromhex(id) not in e.held)
 
 
-def test_no_second_attempt_after_a_stall_for_a_client_that_left_in_it(tmp_path):
-    """Danger: timers come first after a stall: a second attempt began for a client whose close lay unread."""
+def test_no_second_attempt_after_a_pause_for_a_client_that_left_in_it(tmp_path):
+    """Timers come first after a pause: a second attempt began for a client whose close lay unread."""
     with node(tmp_path, [Holder(), Holder()], known=(1, 2), classes={"safe": {"aimS": 3.0}}) as n:
-        skilled(n, 0.3)
+        warm_up_both(n, 0.3)
         client = n.client()
         client.say(request(1, call=A, ttl=4000))
-        _, other = where(n, A)
+        _, other = holder_of(n, A)
         n.stopped()
         client.sock.close()
         client.file.close()
@@ -180,10 +180,10 @@
 def test_a_second_attempt_begins_where_the_client_stays(tmp_path):
     """The test above proves nothing if none would have begun."""
     with node(tmp_path, [Holder(), Holder()], known=(1, 2), classes={"safe": {"aimS": 3.0}}) as n:
-        skilled(n, 0.3)
+        warm_up_both(n, 0.3)
         client = n.client()
         client.say(request(1, call=A, ttl=4000))
-        _, other = where(n, A)
+        _, other = holder_of(n, A)
         until(lambda: A in other.requests())
         other.fulfil(bytes.fromhex(A))
         assert "result" in client.hear()
@@ -192,7 +192,7 @@
 # -- leaving
 
 
-def test_what_lies_in_the_backlog_when_the_listener_closes_is_answered(tmp_path):
+def test_requests_in_the_backlog_when_the_listener_closes_are_answered(tmp_path):
     executor = Executor()
     with node(tmp_path, [executor]) as n:
         n.signal(signal.SIGTERM)
@@ -203,12 +203,12 @@
         time.sleep(1.0)  # the time in which clients still come is over
         n.signal(signal.SIGCONT)
         assert "result" in client.hear()
-        assert [e["event"] for e in n.events(ended=False)][-1] == "front end left"
+        assert [e["event"] for e in n.events(ended=False)][-1] == "front end stopped"
     assert n.process.returncode == 0
 
 
-def test_answers_that_a_slow_client_has_not_read_leave_before_the_process(tmp_path):
-    """Danger: what lay in a transport's buffer 50 ms after the last answer ended with the process."""
+def test_answers_that_a_slow_client_has_not_read_are_flushed_before_the_exit(tmp_path):
+    """What lay in a transport's buffer 50 ms after the last answer ended with the process."""
     holder = Holder()
     with node(tmp_path, [holder]) as n:
         client = Client(n.address, window=1 << 16)
@@ -236,7 +236,7 @@
     return True
 
 
-def test_signals_while_it_leaves_change_nothing_owed(tmp_path):
+def test_signals_during_the_drain_change_no_answer(tmp_path):
     holder = Holder()
     with node(tmp_path, [holder]) as n:
         client = n.client()
@@ -252,12 +252,12 @@
         assert "result" in client.hear() and client.hear() is None
         events = [e["event"] for e in n.events(ended=False)]
     assert n.process.returncode == 0
-    assert events.count("front end leaves") == events.count("front end left") == 1
+    assert events.count("front end draining") == events.count("front end stopped") == 1
     assert len(events) == 3, events
 
 
-def test_sigterm_before_the_reactor_runs_leaves_in_order(tmp_path):
-    """Danger: since it listens clients may have asked, and by default SIGTERM ends the process at once."""
+def test_sigterm_before_the_reactor_runs_drains(tmp_path):
+    """Clients may have sent requests since it listens, and by default SIGTERM ends the process at once."""
     executor, bus = Executor(), Bus()
     address, path = spare(), tmp_path / "config.json"
     path.write_bytes(configuration(address, bus.address, ((1, executor.port),)))
@@ -283,7 +283,7 @@
         assert "result" in client.hear()
         said, _ = process.communicate(timeout=WAIT_S)
         assert process.returncode == 0
-        assert json.loads(said.splitlines()[-1])["event"] == "front end left"
+        assert json.loads(said.splitlines()[-1])["event"] == "front end stopped"
     finally:
         if process.poll() is None:
             process.kill()
@@ -292,7 +292,7 @@
         bus.close()
 
 
-def test_killed_and_started_again_at_its_address(tmp_path):
+def test_a_kill_and_a_restart_at_the_same_address(tmp_path):
     """Its connections were under way: the address is free at once, and what was held is forgotten."""
     holder = Holder()
     with node(tmp_path, [holder]) as n:
@@ -315,7 +315,7 @@
 
 
 def test_nothing_of_another_tenants_configuration_is_used(tmp_path):
-    """Danger: its bus names another tenant's executors, in zones and kinds that mean others here."""
+    """Its event bus names another tenant's executors, in zones and machine types that mean others here."""
     executor, other = Executor(), Bus()
     foreign = copy.deepcopy(SETTINGS)
     foreign["classes"] = [{**foreign["classes"][0], "name": "theirs"}]
@@ -339,7 +339,7 @@
         n.signal(signal.SIGHUP)
         until(lambda: other.resumed)
         events = n.events()
-    refused = [e for e in events if e["event"] == "configuration can't be used: the old one holds"]
+    refused = [e for e in events if e["event"] == "configuration rejected"]
     assert len(refused) == 1 and "another" in refused[0]["reason"]
     assert other.resumed == [1] and executor.requests() == [B]
 
@@ -347,7 +347,7 @@
 # -- descriptors
 
 
-def test_idle_clients_fill_their_share_while_the_bus_is_down(tmp_path):
+def test_idle_clients_fill_their_descriptors_while_the_bus_is_down(tmp_path):
     """The bus and the executors are reached again, and who has an open request is never put out."""
     holder = Holder()
     with node(tmp_path, [holder], sockets=128, before="ulimit -n 128; ") as n:
@@ -376,7 +376,7 @@
 # -- a thousand of each
 
 
-def ends(how, client, id, number):
+def end_request(how, client, id, number):
     """Ask, and end it in one of the ways."""
     line = request(number, call=id, ttl=4000)
     if how == "half a line, then a close":
@@ -406,7 +406,7 @@
 
 
 @pytest.mark.parametrize("how", [*KINDS, "the executor's connection resets"])
-def test_a_thousand_endings_leave_nothing(tmp_path, how):
+def test_a_thousand_endings_leave_nothing_open(tmp_path, how):
     executor = {"an answer": Executor, "the executor's connection resets": Resetter}.get(how, Holder)()
     with node(tmp_path, [executor], sockets=512) as n:
         folder = Path(f"/proc/{n.process.pid}/fd")
@@ -414,7 +414,7 @@
         before = len(list(folder.iterdir()))
         if how in KINDS:
             for i in range(1000):
-                ends(how, n.client(), f"{i + 1:016x}", 1 + i)
+                end_request(how, n.client(), f"{i + 1:016x}", 1 + i)
         else:
             client = n.client()
             for first in range(1, 1001, 25):  # at once; what it is sent less for that is refused
@@ -424,5 +424,5 @@
             client.sock.close()
         until(lambda: len(list(folder.iterdir())) <= before + 4)  # but for a spare connection to the executor
         events = [e["event"] for e in n.events()]
-    assert n.process.returncode == 0 and events[-1] == "front end left"
-    assert not {"answers owed past every outer limit", "connections stay past their last answer"} & {*events}
+    assert n.process.returncode == 0 and events[-1] == "front end stopped"
+    assert not {"requests open past every deadline", "connections open past their last answer"} & {*events}
--- a/tests/test_settled_closes.py
+++ b/tests/test_settled_closes.py
@@ -24,8 +24,8 @@
 
 
 @pytest.mark.parametrize("kind", BAD_LINES)
-def test_a_request_that_is_open_gets_its_answer_whatever_its_client_says_next(tmp_path, kind):
-    """Danger: one more line on the connection closed it, and the open request got no answer at all."""
+def test_an_open_request_gets_its_answer_whatever_its_client_sends_next(tmp_path, kind):
+    """One more line on the connection closed it, and the open request got no answer at all."""
     holder = Holder()
     with node(tmp_path, [holder]) as n:
         client = n.client()
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("kind", GO_ON)
-def test_what_is_no_reason_to_close_closes_nothing(tmp_path, kind):
+def test_input_that_is_no_reason_to_close_closes_nothing(tmp_path, kind):
     holder = Holder()
     with node(tmp_path, [holder]) as n:
         client = n.client()
@@ -80,5 +80,5 @@
         assert codes == {1: -32014, 2: -32014, 3: -32010}
         assert sorted(h["id"] for h in heard if h["id"] in (1, 2, 3)) == [1, 2, 3]
         events = n.events()
-    assert events[-1]["links"].get("answers to no question", 0) == 0
+    assert events[-1]["executors"].get("unmatched answers", 0) == 0
     assert sorted(holder.requests()) == [f"{number:016x}" for number in (1, 2, 3)]
