--- a/benchmarks/capacity_front_end_calls.py
+++ b/benchmarks/capacity_front_end_calls.py
@@ -22,7 +22,7 @@
 from capacity_front_end_rig import DEADLINE_MS, QUIET_MS, REPEATS, FrontEndRig, cpu_us, endpoint, traced_bytes
 
 from petrelway.capacity.slopes import Evidence, Slope, fit
-from petrelway.routing.types import Decision, Outcome, Stage, Verb, Warmth
+from petrelway.routing.types import Action, ActionKind, Outcome, Stage, Warmth
 
 CALLS_A_SECOND = [23.5, 47.0, 94.0, 188.0, 376.0, 752.0]  # 94: the mean at the target
 QUICK_CALLS_A_SECOND = [12.0, 24.0, 48.0, 96.0]
@@ -127,7 +127,7 @@
     def input(self, work: Work, deliver: Callable, *args) -> None:
         """One input with the turn that it causes, charged; then what it decided is carried out."""
         wake_ms = self.rig.wake_ms
-        decisions: list[Decision] = []
+        decisions: list[Action] = []
 
         def deliver_and_turn() -> None:
             deliver(self.rig.now_ms, *args)
@@ -137,7 +137,7 @@
         if self.rig.wake_ms != wake_ms:
             self.later(self.rig.wake_ms, self.wake)
         for decision in decisions:
-            if decision.verb is Verb.SEND:
+            if decision.kind is ActionKind.SEND:
                 self.send(decision)
 
     def wake(self) -> None:
@@ -165,7 +165,7 @@
         self.input(Work.CALLS, self.front_end.request_taken, request, 0, 0, function, DEADLINE_MS, 0.0, False)
         self.later(self.rig.now_ms + self.arrivals.expovariate(self.rate / 1000.0), self.arrive)
 
-    def send(self, decision: Decision) -> None:
+    def send(self, decision: Action) -> None:
         """The executor takes the attempt, loads the function if it never did, and answers in time."""
         request, executor = decision.request, decision.executor
         number = self.attempts.get(request, 0)
--- a/benchmarks/capacity_front_end_rig.py
+++ b/benchmarks/capacity_front_end_rig.py
@@ -15,21 +15,21 @@
 
 from petrelway.routing.router import FrontEnd
 from petrelway.routing.types import (
+    Action,
+    ActionKind,
     Capabilities,
-    ColdRule,
-    Decision,
     Endpoint,
+    FleetPosition,
     Idempotency,
-    Keeping,
-    LoadRation,
+    LoadingSettings,
+    LoadQuotaRule,
     Outcome,
-    Place,
-    Released,
+    ReleasedIndices,
     RequestClass,
     Scope,
+    SlowStartRule,
     Stage,
     Tenant,
-    Verb,
     Warmth,
 )
 
@@ -48,13 +48,13 @@
     return FrontEnd(
         START_MS,
         7,
-        Place(0, 1, 0),
+        FleetPosition(0, 1, 0),
         [RequestClass(Idempotency.IDEMPOTENT, Scope.ALL, 4000.0, 1000.0, DEADLINE_MS, 1.0, 0.1)],
         [Tenant(1.0, TENANT_RATE)],
         Capabilities(3, True, True, False, False, 500.0),
-        Keeping(False, True, 30_000.0, 5000.0, 0.0),
-        ColdRule(4.0, 1500.0, 0.2, 10_000.0),
-        LoadRation(0.0, 0.0, 0.0),
+        LoadingSettings(False, True, 30_000.0, 5000.0, 0.0),
+        SlowStartRule(4.0, 1500.0, 0.2, 10_000.0),
+        LoadQuotaRule(0.0, 0.0, 0.0),
     )
 
 
@@ -98,16 +98,16 @@
         self.now_ms = START_MS
         self.wake_ms = math.inf
         self.requests = 0
-        self.released = Released([], [], [])  # by the last turn
+        self.released = ReleasedIndices([], [], [])  # by the last turn
         self.front_end = new_front_end()
         if executors:
             self.take_list(endpoints(executors), True)
 
-    def turn(self) -> list[Decision]:
+    def turn(self) -> list[Action]:
         """What the module decides now; the wake that it asks for and what it releases are kept."""
         decisions = []
         while (decision := self.front_end.decide(self.now_ms)) is not None:
-            if decision.verb is Verb.WAKE:
+            if decision.kind is ActionKind.WAKE:
                 self.wake_ms = decision.ms
             else:
                 decisions.append(decision)
@@ -137,7 +137,7 @@
             self.wake()
         self.now_ms = until_ms
 
-    def request(self, function: int) -> list[Decision]:
+    def request(self, function: int) -> list[Action]:
         """Take one request for this function, with the turn that follows."""
         self.front_end.request_taken(self.now_ms, self.requests, 0, 0, function, DEADLINE_MS, 0.0, False)
         self.requests += 1
--- a/benchmarks/capacity_ranking.py
+++ b/benchmarks/capacity_ranking.py
@@ -27,8 +27,9 @@
 from petrelway.invariants.checker import figures, judge
 from petrelway.routing import ranking
 from petrelway.routing import state as choice_state
-from petrelway.routing.router import FrontEnd, Function
-from petrelway.routing.types import Endpoint, Stage, Verb
+from petrelway.routing.router import FrontEnd
+from petrelway.routing.selection import Function
+from petrelway.routing.types import ActionKind, Endpoint, Stage
 from petrelway.scenarios.report import percentile, sums
 
 WHOLE_LIST, WINDOW = "whole list", "window"
@@ -129,7 +130,7 @@
         front_end.limit = float("inf")  # of what may be out: nothing is answered here
         sent = 0
         while (decision := front_end.decide(START_MS)) is not None:
-            sent += decision.verb is Verb.SEND
+            sent += decision.kind is ActionKind.SEND
         if sent != 1:
             raise RuntimeError(f"{sent} attempts of a first call")
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -19,19 +19,19 @@
 
 from petrelway.routing import router as choice
 from petrelway.routing.types import (
+    ActionKind,
     Capabilities,
-    ColdRule,
     Endpoint,
+    FleetPosition,
     Idempotency,
-    Keeping,
-    LoadRation,
+    LoadingSettings,
+    LoadQuotaRule,
     Outcome,
-    Place,
     RequestClass,
     Scope,
+    SlowStartRule,
     Stage,
     Tenant,
-    Verb,
     Warmth,
 )
 
@@ -55,13 +55,13 @@
         self.fe = module.FrontEnd(
             self.now,
             7,
-            Place(0, 1, 0),
+            FleetPosition(0, 1, 0),
             [RequestClass(Idempotency.IDEMPOTENT, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
             [Tenant(1.0, RATE)],
             Capabilities(3, True, True, False, False, 500.0),
-            Keeping(False, True, 30_000.0, 5000.0, 0.0),
-            ColdRule(4.0, 1500.0, 0.2, 10_000.0),
-            LoadRation(0.0, 0.0, 0.0),
+            LoadingSettings(False, True, 30_000.0, 5000.0, 0.0),
+            SlowStartRule(4.0, 1500.0, 0.2, 10_000.0),
+            LoadQuotaRule(0.0, 0.0, 0.0),
         )
         self.started = [0.0] * executors
         self.call("executors_listed", self.now, [self.endpoint(e) for e in range(executors)], True)
@@ -117,7 +117,7 @@
 
     def pull(self) -> None:
         while (d := self.call("decide", self.now)) is not None:
-            if d.verb is Verb.SEND:
+            if d.kind is ActionKind.SEND:
                 t = self.fe.requests[d.request]
                 number, f, e = self.sent.get(d.request, 0), t.function.index, d.executor
                 self.sent[d.request] = number + 1
@@ -131,7 +131,7 @@
                     until = self.has[e].setdefault(f, self.now + LOAD_MS)
                     took += until - self.now
                 self.later(self.now + took, "end", d.request, number, self.now, warmth)
-            elif d.verb is Verb.WAKE:
+            elif d.kind is ActionKind.WAKE:
                 self.later(max(d.ms, self.now), "wake")
         for t in self.call("released").requests:
             self.sent.pop(t, None)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import argparse
+import heapq
 import json
 import math
 import os
@@ -17,9 +18,10 @@
 
 from petrelway.emulator.day import EmulatedDay
 from petrelway.invariants.checker import figures, judge
-from petrelway.routing import router as choice
-from petrelway.routing.router import FrontEnd
-from petrelway.routing.types import Decision, Verb
+from petrelway.routing.concurrency import LIMIT_DECREASE, LIMIT_LEAST
+from petrelway.routing.router import LOOK_AGAIN_MS, FrontEnd
+from petrelway.routing.selection import SPARSE_VIEW
+from petrelway.routing.types import Action, ActionKind
 from petrelway.scenarios.baselines import LeastLoaded, RandomChoice
 from petrelway.scenarios.report import sums
 
@@ -29,104 +31,120 @@
 class Gradient(FrontEnd):
     """The limit follows the gradient of the delay: usual over seen, in place of steps."""
 
-    def _paced(self, e, t, took_ms, now):
+    def _record_latency(self, executor, request, took_ms, now):
         self._seen = took_ms
-        super()._paced(e, t, took_ms, now)
-        if now > self.cut_ms + self.mean_ms:
-            ratio = max(0.5, min(1.0, 2.0 * self.quick_ms / max(1.0, self.mean_ms)))
+        super()._record_latency(executor, request, took_ms, now)
+        if now > self.limit_decreased_ms + self.mean_ms:
+            ratio = max(0.5, min(1.0, 2.0 * self.median_ms / max(1.0, self.mean_ms)))
             if ratio < 1.0:
-                self.limit = max(choice.LIMIT_LEAST, ratio * self.limit + math.sqrt(self.limit) * 0.5)
-                self.cut_ms = now
+                self.limit = max(LIMIT_LEAST, ratio * self.limit + math.sqrt(self.limit) * 0.5)
+                self.limit_decreased_ms = now
 
 
 class ChancePhase(FrontEnd):
     """Each front end cuts at times of its own: not all in the same moment."""
 
-    def _cut(self, holder, busy, now):
-        if now > holder.cut_ms + self.mean_ms:
-            super()._cut(holder, busy, now)
-            if holder.cut_ms == now:
-                holder.cut_ms += self.random_source.random() * self.mean_ms
+    def _decrease_limit(self, holder, busy, now):
+        if now > holder.limit_decreased_ms + self.mean_ms:
+            super()._decrease_limit(holder, busy, now)
+            if holder.limit_decreased_ms == now:
+                holder.limit_decreased_ms += self.random_source.random() * self.mean_ms
 
 
 class DeepCut(FrontEnd):
     """Late answers cut the limit for all own requests by a factor of 0.7."""
 
-    def _cut(self, holder, busy, now):
-        if holder is self and now > self.cut_ms + self.mean_ms:
-            self.limit = max(choice.LIMIT_LEAST, 0.7 * min(self.limit, busy + 1.0))
-            self.cut_ms = now
+    def _decrease_limit(self, holder, busy, now):
+        if holder is self and now > self.limit_decreased_ms + self.mean_ms:
+            self.limit = max(LIMIT_LEAST, 0.7 * min(self.limit, busy + 1.0))
+            self.limit_decreased_ms = now
         else:
-            super()._cut(holder, busy, now)
+            super()._decrease_limit(holder, busy, now)
 
 
 class LowFloor(FrontEnd):
     """The limit for all own requests may fall under two: under one, by chance."""
 
-    def _cut(self, holder, busy, now):
-        if holder is self and now > self.cut_ms + self.mean_ms:
-            self.limit = max(0.3, choice.LIMIT_CUT * min(self.limit, busy + 1.0))
-            self.cut_ms = now
+    def _decrease_limit(self, holder, busy, now):
+        if holder is self and now > self.limit_decreased_ms + self.mean_ms:
+            self.limit = max(0.3, LIMIT_DECREASE * min(self.limit, busy + 1.0))
+            self.limit_decreased_ms = now
         else:
-            super()._cut(holder, busy, now)
-
-    def _place(self, t, now):
-        if self.limit < 1.0 and not t.sent and t.jitter > self.limit and self.view(now) < choice.SPARSE:
-            if not self._hopeless(t, now):
-                t.function.held[t.index] = None
-                choice.heapq.heappush(self.due, (now + choice.LOOK_AGAIN_MS, t.index))
+            super()._decrease_limit(holder, busy, now)
+
+    def _route(self, request, now):
+        if (
+            self.limit < 1.0
+            and not request.attempts_sent
+            and request.jitter > self.limit
+            and self.requests_per_executor(now) < SPARSE_VIEW
+        ):
+            if not self._is_hopeless(request, now):
+                request.function.waiting[request.index] = None
+                heapq.heappush(self.timers, (now + LOOK_AGAIN_MS, request.index))
                 return None
-            return self._give_up(t)
-        return super()._place(t, now)
+            return self._give_up(request)
+        return super()._route(request, now)
 
 
 class SpreadRetry(FrontEnd):
     """Rejects at once in a jam, with retry times spread over the longest allowed."""
 
-    def _give_up(self, t):
-        d = super()._give_up(t)
-        if d.verb is Verb.REJECT:
+    def _give_up(self, request):
+        d = super()._give_up(request)
+        if d.kind is ActionKind.REJECT:
             longest = self.capabilities.longest_retry_ms
-            return Decision(Verb.REJECT, t.index, ms=longest * (0.5 + 0.5 * self.random_source.random()))
+            return Action(
+                ActionKind.REJECT, request.index, ms=longest * (0.5 + 0.5 * self.random_source.random())
+            )
         return d
 
 
 class ByWorth(FrontEnd):
     """In a jam what is small for its worth goes first: dear ones need more room under the limit."""
 
-    def _place(self, t, now):
-        dear = t.size > 1.5 * self.mean_size
-        if dear and not t.sent and self.out >= 0.6 * self.limit and self.view(now) < choice.SPARSE:
-            if self._hopeless(t, now):
-                return self._give_up(t)
-            t.function.held[t.index] = None
-            choice.heapq.heappush(self.due, (now + choice.LOOK_AGAIN_MS, t.index))
+    def _route(self, request, now):
+        dear = request.cost_ms > 1.5 * self.mean_cost_ms
+        if (
+            dear
+            and not request.attempts_sent
+            and self.attempts_in_flight >= 0.6 * self.limit
+            and self.requests_per_executor(now) < SPARSE_VIEW
+        ):
+            if self._is_hopeless(request, now):
+                return self._give_up(request)
+            request.function.waiting[request.index] = None
+            heapq.heappush(self.timers, (now + LOOK_AGAIN_MS, request.index))
             return None
-        return super()._place(t, now)
+        return super()._route(request, now)
 
 
 class ToldShare(FrontEnd):
     """No more own requests in flight than the told rates' share would have at the usual time."""
 
-    def _place(self, t, now):
-        share = 1.5 * self.gate.told_rate * self.quick_ms
-        if not t.sent and self.out >= max(2.0, share) and self.view(now) < choice.SPARSE:
-            if self._hopeless(t, now):
-                return self._give_up(t)
-            t.function.held[t.index] = None
-            choice.heapq.heappush(self.due, (now + choice.LOOK_AGAIN_MS, t.index))
+    def _route(self, request, now):
+        share = 1.5 * self.gate.configured_rate * self.median_ms
+        if (
+            not request.attempts_sent
+            and self.attempts_in_flight >= max(2.0, share)
+            and self.requests_per_executor(now) < SPARSE_VIEW
+        ):
+            if self._is_hopeless(request, now):
+                return self._give_up(request)
+            request.function.waiting[request.index] = None
+            heapq.heappush(self.timers, (now + LOOK_AGAIN_MS, request.index))
             return None
-        return super()._place(t, now)
+        return super()._route(request, now)
 
 
 class QuickToo(FrontEnd):
     """Cut when an answer is slow against the usual, not only when it is late."""
 
-    def _paced(self, e, t, took_ms, now):
-        super()._paced(e, t, took_ms, now)
-        usual = self.kind_pace.get(e.endpoint.machine, 1.0)
-        if took_ms > max(0.4 * t.request_class.latency_objective_ms, 2.5 * t.size * usual):
-            self._cut(self, self.out, now)
+    def _record_latency(self, executor, request, took_ms, now):
+        super()._record_latency(executor, request, took_ms, now)
+        usual = self.service_time_baselines.get(executor.endpoint.machine, 1.0)
+        if took_ms > max(0.4 * request.request_class.latency_objective_ms, 2.5 * request.cost_ms * usual):
+            self._decrease_limit(self, self.attempts_in_flight, now)
 
 
 class SlowGrowth(FrontEnd):
@@ -134,10 +152,10 @@
 
     part = 0.25
 
-    def _paced(self, e, t, took_ms, now):
+    def _record_latency(self, executor, request, took_ms, now):
         before = self.limit
-        super()._paced(e, t, took_ms, now)
-        if self.limit > before and self.cut_ms > -math.inf:
+        super()._record_latency(executor, request, took_ms, now)
+        if self.limit > before and self.limit_decreased_ms > -math.inf:
             self.limit = before + self.part * (self.limit - before)
 
 
@@ -150,10 +168,10 @@
 class FactorGrowth(FrontEnd):
     """By a twentieth of itself."""
 
-    def _paced(self, e, t, took_ms, now):
+    def _record_latency(self, executor, request, took_ms, now):
         before = self.limit
-        super()._paced(e, t, took_ms, now)
-        if self.limit > before and self.cut_ms > -math.inf:
+        super()._record_latency(executor, request, took_ms, now)
+        if self.limit > before and self.limit_decreased_ms > -math.inf:
             self.limit = before + 0.05
 
 
@@ -164,20 +182,20 @@
 class AlwaysLimit(FrontEnd):
     """The limit for all own requests holds in any view, not only in a sparse one."""
 
-    def view(self, now):
-        seen = super().view(now)
-        return min(seen, 0.99 * choice.SPARSE) if self._placing else seen
+    def requests_per_executor(self, now):
+        seen = super().requests_per_executor(now)
+        return min(seen, 0.99 * SPARSE_VIEW) if self._placing else seen
 
     _placing = False
 
-    def _place(self, t, now):
-        self._placing = not t.sent and self.out >= self.limit
+    def _route(self, request, now):
+        self._placing = not request.attempts_sent and self.attempts_in_flight >= self.limit
         try:
-            if self._placing and super().view(now) < choice.LIMIT_LEAST:
-                return super()._place(t, now)
+            if self._placing and super().requests_per_executor(now) < LIMIT_LEAST:
+                return super()._route(request, now)
         finally:
             self._placing = False
-        return super()._place(t, now)
+        return super()._route(request, now)
 
 
 class AlwaysSlow(AlwaysLimit, SlowGrowth):
@@ -204,13 +222,13 @@
     """And never more than the told rates' share."""
 
 
-class NoSecond(FrontEnd):
+class NoHedge(FrontEnd):
     """No further attempts while answers are slow."""
 
-    def _second(self, t, now):
-        if self.mean_ms > 2.5 * self.quick_ms:
-            self.seconds = min(self.seconds, 0.9)
-        return super()._second(t, now)
+    def _hedge(self, request, now):
+        if self.mean_ms > 2.5 * self.median_ms:
+            self.hedge_budget = min(self.hedge_budget, 0.9)
+        return super()._hedge(request, now)
 
 
 ANSWERS = {
@@ -223,7 +241,7 @@
     "by worth": ByWorth,
     "told share": ToldShare,
     "slow is late": QuickToo,
-    "no seconds": NoSecond,
+    "no seconds": NoHedge,
     "always": AlwaysLimit,
     "always, slow": AlwaysSlow,
     "always, factor": AlwaysFactor,
@@ -316,12 +334,12 @@
             fes = [f.host.front_end for f in played.fronts.values()]
             rows.append({
                 "t": played.sim.now_s * 1e3 - played.epoch_ms,
-                "out": sum(fe.out for fe in fes),
+                "out": sum(fe.attempts_in_flight for fe in fes),
                 "limit": sum(fe.limit for fe in fes),
                 "held": sum(len(f.held) for fe in fes for f in fe.functions.values()),
                 "queued": sum(x.machine.waits for x in played.lives.values() if x.machine),
                 "loads": sum(x.machine.loads for x in played.lives.values() if x.machine),
-                "view": sum(fe.view(played.sim.now_s * 1e3) for fe in fes) / len(fes),
+                "view": sum(fe.requests_per_executor(played.sim.now_s * 1e3) for fe in fes) / len(fes),
             })  # fmt: skip
             played.sim.later(0.5, look)
 
--- a/petrelway/capacity/workload.py
+++ b/petrelway/capacity/workload.py
@@ -6,7 +6,7 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-from ..routing.router import FORGET_FUNCTION_MS
+from ..routing.expiry import FORGET_FUNCTION_MS
 from .rates import power_law, seen_by_one, share_of_calls_repeated, share_of_functions_below
 from .size import Size
 
--- a/petrelway/common/deployment_settings.py
+++ b/petrelway/common/deployment_settings.py
@@ -12,13 +12,13 @@
 from ..routing.router import FrontEnd
 from ..routing.types import (
     Capabilities,
-    ColdRule,
+    FleetPosition,
     Idempotency,
-    Keeping,
-    LoadRation,
-    Place,
+    LoadingSettings,
+    LoadQuotaRule,
     RequestClass,
     Scope,
+    SlowStartRule,
     Tenant,
 )
 
@@ -33,13 +33,13 @@
 class Terms(NamedTuple):
     """What one front end is told of its deployment. Times in ms; 0: untold."""
 
-    place: Place
+    place: FleetPosition
     request_classes: list[RequestClass]
     tenants: list[Tenant]
     capabilities: Capabilities
-    keeping: Keeping
-    cold: ColdRule
-    ration: LoadRation
+    keeping: LoadingSettings
+    cold: SlowStartRule
+    ration: LoadQuotaRule
     request_class_names: list[str]
     tenant_names: list[str]
     zones: list[str]
@@ -178,7 +178,7 @@
         raise told.fault("classes", "names that differ")
     request_classes = [_request_class(c) for c in classes]
     tenants = [Tenant(o.number("portion", default=0.0), o.number("quotaRps", default=0.0)) for o in orgs]
-    place = Place(
+    place = FleetPosition(
         told.whole("position", 0, 10**6, 0),
         told.whole("peersTotal", 1, 10**6),
         told.whole("zone", 0, max(0, len(zones) - 1), 0),
@@ -193,7 +193,7 @@
         limits.number("maxRetryAfterS", 1e3, 0.0, SECONDS) if limits.flag("retryAfter") else 0.0,
     )
     load_requests = family.flag("loadControl")
-    keeping = Keeping(
+    keeping = LoadingSettings(
         family.word("notLoaded", {"miss": True, "load": False}),
         load_requests,
         family.number("keepS", 1e3, 0.0, SECONDS),
@@ -202,9 +202,9 @@
     )
     cold_ms = rules.number("coldS", 1e3, 0.0, SECONDS)
     cold = (
-        ColdRule(0.0, 0.0, 0.0, 0.0)
+        SlowStartRule(0.0, 0.0, 0.0, 0.0)
         if not cold_ms
-        else ColdRule(
+        else SlowStartRule(
             rules.number("fallMultiple", 1.0, LEAST),
             rules.number("fallS", 1e3, LEAST, SECONDS),
             rules.number("startCapacity", 1.0, 0.0, 1.0),
@@ -212,7 +212,7 @@
         )
     )
     window_ms = family.number("loadsWithinS", 1e3, 0.0, SECONDS) if load_requests else 0.0
-    ration = LoadRation(
+    ration = LoadQuotaRule(
         window_ms,
         family.number("loadFloor") if window_ms else 0.0,
         family.number("loadsPerRequest") if window_ms else 0.0,
--- a/petrelway/console/explainer.py
+++ b/petrelway/console/explainer.py
@@ -1,6 +1,6 @@
 """Why it was decided so: reads the module's state when somebody looks, and changes nothing.
 
-It names in words what choice.py weighs; it decides nothing, and the module does not know of it.
+It names in words what the decisions weigh; it decides nothing, and they do not know of it.
 """
 
 from __future__ import annotations
@@ -8,36 +8,38 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ..routing.router import AILING_PACE, Executor, FrontEnd
+from ..routing.latency import OUTLIER_FACTOR
+from ..routing.router import FrontEnd
+from ..routing.state import Executor
 from ..routing.types import Stage
 
 
 def executor(fe: FrontEnd, e: Executor, now: float, name: str, zone: str) -> dict[str, Any]:
     """What is known of one executor, and why it is avoided. Times in ms."""
-    usual = fe.kind_pace.get(e.endpoint.machine, 0.0)
-    pace = fe.pace(e, now)
+    usual = fe.service_time_baselines.get(e.endpoint.machine, 0.0)
+    pace = fe.service_time_factor(e, now)
     avoided = []
     if e.endpoint.stage is not Stage.READY:
         avoided.append(f"{e.endpoint.stage.value}: nothing new is sent")
     if e.busy >= e.limit:
         avoided.append(f"at its limit: {e.busy} own triggers in flight, {e.limit:.1f} allowed")
     if usual and pace > 2.0 * usual:
-        word = "ailing" if pace >= AILING_PACE * usual else "slow"
+        word = "ailing" if pace >= OUTLIER_FACTOR * usual else "slow"
         avoided.append(f"{word}: {pace / usual:.1f} times its kind's usual pace")
-    for tenant, until in e.refused.items():
+    for tenant, until in e.tenant_backoff.items():
         if until > now:
             avoided.append(f"refuses customer {tenant} for {(until - now) / 1e3:.1f} s more")
-    cold = fe.gate.is_cold(e, now)
+    cold = fe.gate.is_warming_up(e, now)
     if cold:
-        avoided.append(f"cold: {len(e.cold_sends)} sends counted against rule 4")
+        avoided.append(f"cold: {len(e.slow_start_sends)} sends counted against rule 4")
     return {
         "executor": name,
         "hall": zone,
         "stage": e.endpoint.stage.value,
         "pace": round(pace, 3),
         "usual pace": round(usual, 3),
-        "backlog ms": round(fe.backlog(e, now), 1),
-        "in flight": len(e.out),
+        "backlog ms": round(fe.weighted_backlog(e, now), 1),
+        "in flight": len(e.in_flight),
         "busy": e.busy,
         "limit": round(e.limit, 1),
         "resume": len(e.resume),
@@ -66,11 +68,11 @@
         "function": name,
         "warm at": warm,
         "loading at": loading,
-        "waiting": len(f.held),
-        "lanes": f.lanes,
+        "waiting": len(f.waiting),
+        "lanes": f.slots,
         "load ms": round(f.load_ms, 1),
         "mean ms": round(f.mean_ms, 1),
-        "asked s ago": round((now - f.used_ms) / 1e3, 1),
+        "asked s ago": round((now - f.last_used_ms) / 1e3, 1),
     }
 
 
--- a/petrelway/daemon/service.py
+++ b/petrelway/daemon/service.py
@@ -142,12 +142,12 @@
         fe, p = self.host.front_end, self.background.planner
         return {
             "open triggers": self.host.owed,
-            "held": sum(len(f.held) for f in fe.functions.values()),
+            "held": sum(len(f.waiting) for f in fe.functions.values()),
             "orders and loads": sum(len(e.load_requests) for e in fe.executors.values()),
             "executors ready": len(fe.ready),
             "functions known": len(fe.functions),
             "limit of own triggers": round(fe.limit, 1),
-            "share of late answers": round(fe.late, 3),
+            "share of late answers": round(fe.late_ratio, 3),
             "bytes held": self.host.held_bytes,
             "clients' connections": self.intake.connections,
             "lag ms": round(p.lag_ms, 2),
--- a/petrelway/emulator/front_ends.py
+++ b/petrelway/emulator/front_ends.py
@@ -147,8 +147,8 @@
         """It knows the others, and its module hears which part of the rations it may use."""
         host, front_end = self.host, self.host.front_end
         peer = sea.start(number, self.place.process)
-        peer.told = lambda part: front_end.part_told(host.now(), part)
-        front_end.part_told(host.now(), peer.held.part)
+        peer.told = lambda part: front_end.quota_share_changed(host.now(), part)
+        front_end.quota_share_changed(host.now(), peer.held.part)
         if isinstance(front_end, FrontEnd):
             note_uses(front_end, peer.note)
 
--- a/petrelway/emulator/membership_simulation.py
+++ b/petrelway/emulator/membership_simulation.py
@@ -14,7 +14,7 @@
 from ..membership.messages import Word, digest, write
 from ..membership.quota_lease import Held, Parts
 from ..membership.swim import Change, Decision, Members, Verb, Whole
-from ..routing.types import Part
+from ..routing.types import QuotaShare
 
 DIAL_MS = 0.5  # there and back on an idle network
 
@@ -34,7 +34,7 @@
         self.whole: Whole | None = None
         self.held: Held | None = None
         self.wake = None
-        self.told: Callable[[Part], None] = lambda part: None
+        self.told: Callable[[QuotaShare], None] = lambda part: None
         self.pull()
 
     def note(self, kind: str, **what) -> None:
--- a/petrelway/emulator/quota_model.py
+++ b/petrelway/emulator/quota_model.py
@@ -19,8 +19,8 @@
 from ..membership.messages import Kind, Start, State, Word
 from ..membership.quota_lease import Parts
 from ..membership.swim import Members
-from ..routing.router import Gate
-from ..routing.types import ColdRule, LoadRation, Part
+from ..routing.rules import Gate
+from ..routing.types import LoadQuotaRule, QuotaShare, SlowStartRule
 
 SIZE = 3
 STEP_MS = 1400.0  # so that the wait of a new process ends in the step in which it may
@@ -75,8 +75,8 @@
 @cache
 def _in_use(one: One) -> float:
     """What the module would go by in this turn, if it has been told nothing since."""
-    gate = Gate(ColdRule(1, 1, 1, 1), LoadRation(0, 0, 0), 1.0, 1 / SIZE, random.Random(0), 0.0)
-    gate.part = Part(one.share, NOW + one.left)
+    gate = Gate(SlowStartRule(1, 1, 1, 1), LoadQuotaRule(0, 0, 0), 1.0, 1 / SIZE, random.Random(0), 0.0)
+    gate.quota_share = QuotaShare(one.share, NOW + one.left)
     return gate.share(NOW)
 
 
--- a/petrelway/emulator/runs.py
+++ b/petrelway/emulator/runs.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
+from .. import routing
 from ..invariants.checker import figures, judge
-from ..routing import router as choice
 from ..scenarios.baselines import POLICIES
 from ..scenarios.report import sums
 from .day import EmulatedDay
@@ -47,7 +47,8 @@
 
 def made_by() -> dict[str, str]:
     """The commit, empty where there is none, and the decisions' own text."""
-    text = Path(choice.__file__).read_bytes()
+    modules = sorted(Path(routing.__file__).parent.glob("*.py"))
+    text = b"".join(module.read_bytes() for module in modules)
     try:
         done = subprocess.run(
             ["git", "rev-parse", "HEAD"],
--- a/petrelway/fakes/hollow_members.py
+++ b/petrelway/fakes/hollow_members.py
@@ -18,7 +18,7 @@
 from ..membership.messages import Word as Message
 from ..membership.service import FleetService, Listed
 from ..membership.swim import Members
-from ..routing.types import Part
+from ..routing.types import QuotaShare
 
 MEMBERS_BOUND = 2000  # hollow members in one process: two descriptors each, of the usual few thousand
 FLEET_BOUND = 60_000  # members of one fleet: one address each under 127.NETWORK.0.0/16
@@ -137,7 +137,7 @@
     debug = info = warning = error = critical = _drop
 
 
-def ignore_part(part: Part) -> None:
+def ignore_part(part: QuotaShare) -> None:
     """A front end's host would use its quota share; a hollow member has none to use."""
 
 
--- a/petrelway/gateway/attempt_reasons.py
+++ b/petrelway/gateway/attempt_reasons.py
@@ -9,10 +9,10 @@
     """The reason of a attempt that was decided this moment, in words."""
     t, e = fe.requests[request], fe.executors[executor_index]
     f = t.function
-    beside = sum(1 for n in t.out if n != number)
+    beside = sum(1 for n in t.in_flight if n != number)
     if beside:
         return f"a further one beside {beside} overdue"
-    again = f", again after {len(t.tried) + len(t.missed)} that failed or missed" if number else ""
+    again = f", again after {len(t.failed_executors) + len(t.missed_executors)} that failed or missed" if number else ""
     if f.index in e.load_requests and len(f.skilled) <= 1:
         return "nobody is believed to hold it: first by the shared rank, loads" + again
     if f.index in e.load_requests:
--- a/petrelway/gateway/dispatcher.py
+++ b/petrelway/gateway/dispatcher.py
@@ -19,14 +19,14 @@
 from ..common.start_times import StartTimes
 from ..routing.router import FrontEnd
 from ..routing.types import (
+    Action,
+    ActionKind,
     Capabilities,
-    Decision,
     Endpoint,
     Outcome,
     RequestClass,
     Stage,
     Tenant,
-    Verb,
     Warmth,
 )
 from ..wire import codec
@@ -204,7 +204,7 @@
         capabilities: Capabilities,
     ) -> None:  # fmt: skip
         """From now on requests are taken under these; indices keep their names."""
-        self.front_end.terms_told(self.now(), request_classes, tenants, capabilities)
+        self.front_end.configuration_changed(self.now(), request_classes, tenants, capabilities)
         self.request_classes, self.tenants = names, tenant_names
 
     def take(
@@ -306,7 +306,7 @@
         self.log.warning("wall clock stepped", ahead_s=round(ahead_s, 3))
         now = self.now()
         for executor, started_ms in self.starts.all_own_ms().items():
-            self.front_end.start_told(now, self.executors.index[executor], started_ms)
+            self.front_end.executor_start_corrected(now, self.executors.index[executor], started_ms)
 
     def _note_change(self, now: float, index: int, line: EndpointEntry, started_ms: float) -> None:
         known = self.front_end.executors.get(index)
@@ -358,7 +358,7 @@
         t, now = self.taken.get(index), self.now()
         if t is None or t.answer is None or number not in t.out or now >= t.deadline_ms:
             return 0.0
-        return t.deadline_ms - now if self.front_end.may_go(now, index, number) else 0.0
+        return t.deadline_ms - now if self.front_end.may_still_send(now, index, number) else 0.0
 
     def load_request_answered(self, executor: int, order: int, outcome: Outcome, replicas: int) -> None:
         if (found := self.load_requests.pop(order, None)) is None:
@@ -387,7 +387,7 @@
 
     def _give_up(self, t: Taken) -> None:
         self.counts["given up for its connection"] += 1
-        self.front_end.request_given_up(self.now(), t.index)
+        self.front_end.request_abandoned(self.now(), t.index)
         self._soon()
 
     # -- the turn
@@ -458,7 +458,7 @@
 
     def _decision_failed(self, error: Exception, failures: int) -> bool:
         """Danger: one request that the decisions cannot digest must not take the others with it."""
-        index = self.front_end.failed()
+        index = self.front_end.decision_failed()
         t = self.taken.get(index)
         self.counts["decision failed"] += 1
         self.log.error(
@@ -484,28 +484,28 @@
                 self.front_end.client_gone(self.now(), t.index)
         return False
 
-    def _carry_out(self, d: Decision, now: float) -> None:
-        verb = d.verb
+    def _carry_out(self, d: Action, now: float) -> None:
+        verb = d.kind
         if self.watch is not None and d.request >= 0:
             executor, why = self.executors.wire.get(d.executor, ""), ""
-            if verb is Verb.SEND:
+            if verb is ActionKind.SEND:
                 why = why_sent(self.front_end, d.request, d.executor, self.taken[d.request].sent)
             self.watch.decided(now, self.taken[d.request].serial, verb.value, executor, why)
-        if verb is Verb.SEND:
+        if verb is ActionKind.SEND:
             self._send(self.taken[d.request], d.executor, d.ms, now)
-        elif verb is Verb.WAKE:
+        elif verb is ActionKind.WAKE:
             self._wake_at(d.ms, now)
-        elif verb is Verb.REJECT:
+        elif verb is ActionKind.REJECT:
             self._answer(self.taken[d.request], Answer(REJECTED, d.ms))
-        elif verb is Verb.FAIL:
+        elif verb is ActionKind.FAIL:
             self._answer(self.taken[d.request], Answer(FAILED))
-        elif verb is Verb.CANCEL:
+        elif verb is ActionKind.CANCEL:
             self._cancel_attempt(self.taken[d.request], d.number)
-        elif verb is Verb.PREFETCH:
+        elif verb is ActionKind.PREFETCH:
             self._order(d.executor, d.function, d.number, now)
-        elif verb is Verb.UNLOAD:
+        elif verb is ActionKind.UNLOAD:
             self.links[d.executor].unload(self.functions.wire[d.function])
-        elif verb is Verb.PROBE:
+        elif verb is ActionKind.PROBE:
             self.load_request_id += 1
             self.links[d.executor].probe(self.load_request_id)
         else:  # no way to the peers yet: counted, not silent
--- a/petrelway/gateway/service.py
+++ b/petrelway/gateway/service.py
@@ -12,7 +12,7 @@
 
 from ..membership.service import FleetService, Listed, new_token
 from ..routing.router import FrontEnd
-from ..routing.types import ColdRule, Keeping, LoadRation, Place
+from ..routing.types import FleetPosition, LoadingSettings, LoadQuotaRule, SlowStartRule
 from ..sockets.listening import listen_tcp
 from . import active_policy as terms
 from .cloudevent_requests import Ask
@@ -33,19 +33,19 @@
     return kind(
         now,
         seed,
-        Place(place.number, place.peers, fleet.zones.index(place.zone)),
+        FleetPosition(place.number, place.peers, fleet.zones.index(place.zone)),
         made.request_classes,
         made.tenants,
         made.capabilities,
-        Keeping(
+        LoadingSettings(
             keeping.answers_miss,
             keeping.load_requests,
             keeping.least_keep_ms,
             keeping.load_request_timeout_ms,
             keeping.idle_price,
         ),
-        ColdRule(cold.multiple, cold.span_ms, cold.start_share, cold.warm_ms),
-        LoadRation(ration.window_ms, ration.free, ration.share),
+        SlowStartRule(cold.multiple, cold.span_ms, cold.start_share, cold.warm_ms),
+        LoadQuotaRule(ration.window_ms, ration.free, ration.share),
     )
 
 
@@ -148,7 +148,7 @@
             new_token(),
             random.Random(f"{self.found['front_end'].seed}/{name}/members"),
             self.log,
-            lambda part: host.front_end.part_told(host.now(), part),
+            lambda part: host.front_end.quota_share_changed(host.now(), part),
             self.note,
         )
         if "policy" in self.found:
--- a/petrelway/membership/quota_lease.py
+++ b/petrelway/membership/quota_lease.py
@@ -9,7 +9,7 @@
 - it holds for PROOF_MS from when the try began, by the clock of who tried;
 - a process that has just started uses nothing for that time and what clocks may differ: proofs against an
   earlier process of its name, which are true until it starts, have run out by then;
-- a process that stood still asks again in the turn in which it uses something (`choice.Gate`).
+- a process that stood still asks again in the turn in which it uses something (`routing.slow_start`).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import math
 from typing import NamedTuple
 
-from ..routing.types import Part
+from ..routing.types import QuotaShare
 from .swim import PROOF_MS, Members, Whole
 
 DRIFT = 0.01  # two clocks' spans differ by less than this share of them; quartz differs by a ten-thousandth
@@ -27,7 +27,7 @@
 class Held(NamedTuple):
     """The part, and for operators why it is so and for how many dead ones it stands."""
 
-    part: Part
+    part: QuotaShare
     why: str
     dead: int = 0
 
@@ -43,13 +43,13 @@
         """The part now."""
         own = 1.0 / self.size
         if members.yielded:
-            return Held(Part(0.0, math.inf), "another process has this name")
+            return Held(QuotaShare(0.0, math.inf), "another process has this name")
         if now < self.began_ms + WAIT_MS:
-            return Held(Part(0.0, self.began_ms + WAIT_MS), "just started: others may stand for this name")
+            return Held(QuotaShare(0.0, self.began_ms + WAIT_MS), "just started: others may stand for this name")
         whole = members.whole(now)
         if whole is not Whole.WHOLE:
-            return Held(Part(own, math.inf), f"own share: {whole.value}")
+            return Held(QuotaShare(own, math.inf), f"own share: {whole.value}")
         dead = [m.refused_ms + PROOF_MS for m in members.proved(now)]
         if not dead:
-            return Held(Part(own, math.inf), "own share")
-        return Held(Part(1.0 / (self.size - len(dead)), min(dead)), "stands for dead ones too", len(dead))
+            return Held(QuotaShare(own, math.inf), "own share")
+        return Held(QuotaShare(1.0 / (self.size - len(dead)), min(dead)), "stands for dead ones too", len(dead))
--- a/petrelway/membership/service.py
+++ b/petrelway/membership/service.py
@@ -16,7 +16,7 @@
 from twisted.application import service
 from twisted.internet import error, interfaces, protocol
 
-from ..routing.types import Part
+from ..routing.types import QuotaShare
 from ..sockets.datagrams import listen_udp
 from ..sockets.listening import listen_tcp
 from .messages import MessageError, Start, State, digest, read, write
@@ -108,7 +108,7 @@
         token: int,
         random_source: random.Random,
         log,
-        told: Callable[[Part], None] | None,
+        told: Callable[[QuotaShare], None] | None,
         note: Callable[..., Any] | None = None,
     ) -> None:
         """`token` from the system's own chance: the same under the same name would make two processes one.
--- a/petrelway/routing/monotonic_time.py
+++ b/petrelway/routing/monotonic_time.py
@@ -1,4 +1,4 @@
-"""The module's guard against a host whose clock goes back: where time enters the decisions, and leaves them.
+"""Guards the decisions against a host whose clock goes back: where time enters them, and leaves them.
 
 Decayed sums divide by spans, and windows are compared with `now`: a time that goes back would raise, or open
 a window again that is over. A step back is taken out here, once. How long before it the host looked last is
@@ -12,13 +12,13 @@
 STEP_MS = 500.0  # a time so much older than the latest is a step of the host's clock
 
 
-class ForwardClock:
+class MonotonicTime:
     """The host's time as the decisions see it, in ms: never earlier than what they saw before.
 
-    >>> clock = ForwardClock(100.0, gap_ms=10.0)
+    >>> clock = MonotonicTime(100.0, gap_ms=10.0)
     >>> clock.enter(1150.0), clock.enter(1140.0), clock.enter(1160.0)
     (1150.0, 1150.0, 1160.0)
-    >>> clock.enter(50.0), clock.enter(70.0), clock.leave(1200.0)
+    >>> clock.enter(50.0), clock.enter(70.0), clock.to_host(1200.0)
     (1170.0, 1190.0, 80.0)
     """
 
@@ -30,7 +30,7 @@
         self._ahead_ms = 0.0
 
     def enter(self, now: float) -> float:
-        """The present, from the host's."""
+        """The present, from the host's clock."""
         at = now + self._ahead_ms
         if at < self._latest_ms - STEP_MS:
             at, before = self._latest_ms + self._gap_ms, at
@@ -38,10 +38,10 @@
         self._latest_ms = max(at, self._latest_ms)
         return self._latest_ms
 
-    def place(self, at: float) -> float:
-        """A time before or after now, from the host's."""
+    def to_local(self, at: float) -> float:
+        """A time before or after now, from the host's clock."""
         return at + self._ahead_ms
 
-    def leave(self, at: float) -> float:
-        """A time, for the host."""
+    def to_host(self, at: float) -> float:
+        """A time, for the host's clock."""
         return at - self._ahead_ms
--- /dev/null
+++ b/petrelway/routing/outcomes.py
@@ -0,0 +1,67 @@
+"""What the end of an attempt tells of its executor and its function.
+
+Mixed into `router.FrontEnd`, whose `attempt_ended` calls `_learn`.
+"""
+
+from __future__ import annotations
+
+from .latency import LatencyTracking
+from .prefetch import Prefetching
+from .state import Attempt, Request
+from .types import Outcome, Warmth
+
+TENANT_LIMIT_MS = 100.0  # a full that took longer was no full queue, but a limit for this tenant ...
+TENANT_BACKOFF_MS = 8000.0  # ... which is respected for this time
+
+
+class OutcomeLearning(LatencyTracking, Prefetching):
+    """Moves what is known by how attempts end."""
+
+    def _learn(
+        self,
+        now: float,
+        request: Request,
+        attempt: Attempt,
+        outcome: Outcome,
+        took_ms: float,
+        warmth: Warmth,
+    ) -> None:
+        """Take in the outcome of an attempt that the present process of its executor answered."""
+        executor = attempt.executor
+        function = request.function
+        class_index = request.class_index
+        # One that fails fast always has a free slot, and may fail one request class only: the answers to the
+        # others heal its factor. What nobody ever served fails anywhere, and says nothing of the executor.
+        failed = outcome is Outcome.ERROR and function.mean_ms and warmth is not Warmth.LOAD_FAILED
+        if failed or (outcome is Outcome.SUCCEEDED and class_index in executor.error_rates):
+            self._record_error(executor, class_index, bool(failed), now)
+        if outcome is Outcome.SUCCEEDED:
+            self._learn_success(now, request, attempt, took_ms, warmth)
+        elif outcome is Outcome.MISS:
+            self._remove_skills(executor, function)
+            request.missed_executors.add(executor.endpoint.executor)
+            loads = self.loading_settings.answers_miss and self.loading_settings.load_requests
+            if loads and warmth is not Warmth.LOAD_FAILED:
+                self.prefetch_wanted[function.index] = executor
+        elif outcome is Outcome.FULL:
+            # some refuse one tenant only, and slowly; that says nothing of the rest
+            if took_ms > TENANT_LIMIT_MS and not self._in_process_pause(now):
+                executor.tenant_backoff[request.tenant] = now + TENANT_BACKOFF_MS
+        elif outcome not in (Outcome.CANCELLED, Outcome.UNSENT) and warmth is not Warmth.LOAD_FAILED:
+            self._penalize(executor, now)  # one that fails fast would look idle
+
+    def _learn_success(
+        self, now: float, request: Request, attempt: Attempt, took_ms: float, warmth: Warmth
+    ) -> None:
+        executor = attempt.executor
+        function = request.function
+        self._add_skill(executor, function, now)
+        executor.tenant_backoff.pop(request.tenant, None)
+        if self._in_process_pause(now):  # the time of an own pause proves nothing against executors
+            return
+        self._grow_limit_at_start()
+        if warmth in (Warmth.FOUND, Warmth.UNTOLD):
+            self._record_latency(executor, request, took_ms, now)
+        elif warmth is Warmth.BEGAN:
+            served_ms = request.cost_ms * self.service_time_factor(executor, now)
+            self._record_load(function, took_ms - served_ms)
--- a/petrelway/routing/ranking.py
+++ b/petrelway/routing/ranking.py
@@ -6,9 +6,9 @@
 order is a function of the list of ready executors alone: front ends that hold the same list agree without a
 message. With at most WINDOW executors ready the window is the whole fleet.
 
-Danger: a window of a fixed count of executors takes in another one for each that leaves, which would be first
-home of as many functions as the one that left. An arc stays as it is; its width halves each time the fleet
-doubles, for each function at another size of the fleet, so that no size moves many functions at once.
+A window of a fixed count of executors takes in another one for each that leaves, which would be the
+most preferred of as many functions as the one that left. An arc stays as it is; its width halves each time
+the fleet doubles, for each function at another size of the fleet, so that no size moves many at once.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 from .hash_ring import HASH_BITS, HASH_MASK, RingMember
 
 # Executors, on average over the functions; for one between a half and twice as many. A wider window makes the
-# load of first homes more even, by 1 / sqrt(WINDOW); a first call costs more time, a function more memory.
+# load of the most preferred executors more even, by 1 / sqrt(WINDOW); a first call costs more time, and a
+# function more memory.
 WINDOW = 128
 MIX = 0x9E3779B97F4A7C15  # an odd number with scattered bits, for the shared rank
 POINT = MIX  # what a function's salt is mixed with for its point on the ring ...
@@ -24,7 +25,7 @@
 
 
 def shared_rank(function_salt: int, executor_salt: int) -> int:
-    """A draw that all front ends share without a word: loads of a function meet at one executor."""
+    """A draw that all front ends share without a message: loads of a function meet at one executor."""
     mixed = ((function_salt ^ executor_salt) * MIX) & HASH_MASK
     return ((mixed ^ (mixed >> 29)) * MIX) & HASH_MASK
 
@@ -39,6 +40,7 @@
         self.point = shared_rank(function_salt, POINT)
 
     def __call__(self, executor: RingMember) -> int:
+        """The executor's rank for this function; the highest is the most preferred."""
         return shared_rank(self._salt, executor.salt)
 
     def arcs(self, executors: int) -> int:
--- /dev/null
+++ b/petrelway/routing/rules.py
@@ -0,0 +1,62 @@
+"""The five rules, at the one place that every attempt, load request and final answer passes.
+
+1. One final answer within the deadline, and no more attempts than the deployment allows.
+2. A request that may have run goes out again only where that does no harm (`replay_safety`).
+3. Nothing new is sent to an executor that is not ready; the grace of draining ones is not used.
+4. A new executor starts slowly (`slow_start`).
+5. Load requests stay within their quota (`load_quota`).
+"""
+
+from __future__ import annotations
+
+import random
+
+from .load_quota import LoadQuota
+from .replay_safety import may_reject, may_replay
+from .slow_start import SlowStart
+from .state import Executor, Request
+from .types import Endpoint, LoadQuotaRule, SlowStartRule, Stage
+
+
+class Gate(SlowStart, LoadQuota):
+    """Says whether the rules allow an attempt, a load request or a reject."""
+
+    def __init__(
+        self,
+        slow_start_rule: SlowStartRule,
+        load_quota_rule: LoadQuotaRule,
+        configured_rate: float,
+        own_share: float,
+        random_source: random.Random,
+        start: float,
+    ) -> None:
+        SlowStart.__init__(self, slow_start_rule, configured_rate, own_share, random_source, start)
+        LoadQuota.__init__(self, load_quota_rule)
+
+    def allows_send(self, request: Request, executor: Executor, listed: int, now: float) -> bool:
+        """Whether this request may go to this executor now; `listed` executors are ready."""
+        if request.answered or now >= request.answer_deadline_ms:  # rule 1
+            return False
+        if request.attempts_sent >= request.capabilities.attempts:
+            return False
+        if request.in_flight and not request.capabilities.hedging:
+            return False
+        if executor.endpoint.stage is not Stage.READY:  # rule 3
+            return False
+        replay = request.possible_runs or request.in_flight
+        if replay and not self.allows_replay(request, executor.endpoint, now):  # rule 2
+            return False
+        return self._slow_start_allows(request, executor, listed, now)  # rule 4
+
+    def allows_replay(self, request: Request, endpoint: Endpoint, now: float) -> bool:
+        """Whether a request that may have run can go to this endpoint as well (rule 2)."""
+        return may_replay(request, endpoint, now)
+
+    def allows_load_request(self, executor: Executor, now: float) -> bool:
+        """Whether a load request may go to this executor now (rules 3 and 5)."""
+        allowed = self._load_quota_allows(now)
+        return executor.endpoint.stage is Stage.READY and allowed
+
+    def allows_reject(self, request: Request) -> bool:
+        """Whether the request's final answer may be a reject (rule 2)."""
+        return may_reject(request)
--- /dev/null
+++ b/petrelway/routing/selection.py
@@ -0,0 +1,175 @@
+"""The ordinary path of the design: which executor a request goes to.
+
+The design's source gives three words, kept here. An executor's *resume* is the set of functions that it has
+served lately and is believed to have loaded (its warm set). It is *skilled* for those. Its *weighted
+backlog* is the own requests in flight there times the average time of one there.
+
+A request goes to the skilled executor with the least weighted backlog; one is passed over only with no free
+slot and past VARIANCE times the mean backlog; where all are, the request overflows to an unskilled one, which
+loads the function and gains the skill.
+
+Mixed into `router.FrontEnd`, whose decide loop calls `choose`.
+"""
+
+from __future__ import annotations
+
+import math
+
+from .hash_ring import RingWindow
+from .latency import LatencyTracking
+from .prefetch import UNKNOWN_LOAD_MS
+from .ranking import WINDOW, FunctionRank
+from .state import Executor, Fleet, FunctionState, Request
+
+VARIANCE = 2.0  # a skilled executor without a free slot is passed over past this times the mean backlog
+ERROR_RATE_LIMIT = 0.3  # past this error rate an executor gets no request of that request class
+DEMAND_SPAN_MS = 40000.0  # span over which a function's share of the requests is averaged
+DEMAND_PRIOR = 10.0  # requests of other functions assumed before any came
+DEMAND_LEAD_MS = 1000.0  # the demand counts as begun this long before the start: its span is never 0
+SPREAD_FACTOR = 3.0  # preferred executors of a function, times its share of the fleet
+SAMPLE_SIZE = 12  # of more than twice as many a random part is looked at: the least of it is as good
+SLOTS_FILLED = 0.5  # share of a function's slots in use at its preferred executors
+OWN_VIEW_WEIGHT = 8.0  # weight of own requests for each executor against what the shared rank presumes
+SPARSE_VIEW = 0.25  # own requests in flight for each executor: with fewer, our own counts tell nothing
+SATURATED_FLEET_SHARE = 0.25  # no overflow while more of the executors than this are saturated ...
+LOADING_FLEET_SHARE = 0.16  # ... nor while more own loads than this are under way for each of them
+
+
+class Function(FunctionState):
+    """What is known of one function, and how the executors rank for it."""
+
+    def __init__(self, index: int, stable: str, slots: int, load_ms: float, now: float) -> None:
+        super().__init__(index, stable, slots, load_ms or UNKNOWN_LOAD_MS, load_ms, now)
+        self.rank = FunctionRank(self.salt)
+        self.order: RingWindow[Executor] = RingWindow(self.rank)
+
+    def ranked(self, fleet: Fleet, count: int = WINDOW) -> list[Executor]:
+        """The first of the ready ones by rank, from the function's most preferred one on."""
+        return self.order.first(fleet.ring, count)
+
+
+class Selection(LatencyTracking):
+    """Chooses the executor of an attempt."""
+
+    functions: dict[int, Function]
+
+    def requests_per_executor(self, now: float) -> float:
+        """Own requests in flight for each executor, if all were as quick as the median. Counted as they are,
+        they would grow in a congestion, and the limit that would end it would be off."""
+        span = DEMAND_SPAN_MS * (1.0 - math.exp((self.start - now - DEMAND_LEAD_MS) / DEMAND_SPAN_MS))
+        return self.demand / self.mean_cost_ms * self.median_ms / span / max(1, len(self.ready))
+
+    def preferred_count(self, function: Function, now: float) -> int:
+        """How many executors by the shared rank count as skilled without having been seen so: the function's
+        share of the fleet or of its slots, where own requests are too few to tell. Each too many costs a
+        load."""
+        error = math.sqrt(function.demand * self.mean_cost_ms)
+        share = (function.demand - error) / (self.demand + DEMAND_PRIOR * self.mean_cost_ms)
+        slots = self.gate.configured_rate * self.mean_ms / (SLOTS_FILLED * function.slots)
+        seen = 1.0 + OWN_VIEW_WEIGHT * self.requests_per_executor(now)
+        return max(not function.skilled, int(share * max(SPREAD_FACTOR * len(self.ready), slots) / seen))
+
+    def weighted_backlog(self, executor: Executor, now: float) -> float:
+        """In flight times the average time of a request, in ms."""
+        return len(executor.in_flight) * self.service_time_factor(executor, now) * self.mean_cost_ms
+
+    def choose(self, request: Request, now: float) -> Executor | None:
+        """The executor of the request's next attempt, or None where there is no place for it now."""
+        candidates = self._candidates(request.function, now)
+        skilled = [executor for executor in candidates if self._eligible(request, executor, now)]
+        mean = self.attempts_in_flight / max(1, len(self.ready)) * self.mean_ms
+        limit = VARIANCE * max(mean, self.mean_ms)
+        unburdened = self._with_room(skilled, request.function, limit, now)
+        if unburdened:
+            return min(
+                unburdened,
+                key=lambda executor: (
+                    self._expected_ms(executor, request, now),
+                    self.random_source.random(),
+                ),
+            )
+        if self._may_overflow(request.function):
+            executor = self._overflow(request, candidates, mean if request.function.skilled else limit, now)
+            if executor is not None:
+                return executor
+        return min(
+            skilled,
+            key=lambda executor: (self._expected_ms(executor, request, now), self.random_source.random()),
+            default=None,
+        )
+
+    def _candidates(self, function: Function, now: float) -> dict[Executor, None]:
+        """The skilled executors and the preferred ones; of very many a random part."""
+        found = [
+            *function.skilled.values(),
+            *function.ranked(self.fleet, self.preferred_count(function, now)),
+        ]
+        step = len(found) // SAMPLE_SIZE
+        if step > 1:
+            found = found[int(self.random_source.random() * step) :: step]
+        return dict.fromkeys(found)
+
+    def _with_room(
+        self, skilled: list[Executor], function: Function, limit: float, now: float
+    ) -> list[Executor]:
+        """Those with a free slot by our count, or with no more backlog than the limit. In a sparse view our
+        counts of what is in flight tell nothing, and one more request is assumed."""
+        sparse = self.requests_per_executor(now) < SPARSE_VIEW
+        return [
+            executor
+            for executor in skilled
+            if (
+                not sparse
+                and sum(attempt.function is function for attempt in executor.in_flight.values())
+                < function.slots
+            )
+            or self.weighted_backlog(executor, now)
+            + sparse * self.service_time_factor(executor, now) * self.mean_cost_ms
+            <= limit
+        ]
+
+    def _may_overflow(self, function: Function) -> bool:
+        """Whether an unskilled executor may be taken. In an overload every function would overflow at once,
+        and the loads would make all slower."""
+        ready = len(self.ready)
+        saturated = self.fleet.saturated > SATURATED_FLEET_SHARE * ready
+        loading = self.fleet.load_requests >= LOADING_FLEET_SHARE * ready
+        loading = loading or function.index in self.fleet.loading
+        return not function.skilled or (not saturated and not loading)
+
+    def _overflow(
+        self, request: Request, candidates: dict[Executor, None], limit: float, now: float
+    ) -> Executor | None:
+        """The first other executor by the shared rank that is calm and eligible. The design's source leaves
+        the executor of a new load open."""
+        for executor in request.function.order.all(self.fleet.ring):
+            calm = self.weighted_backlog(executor, now) <= limit
+            if executor not in candidates and calm and self._eligible(request, executor, now):
+                return executor
+        return None
+
+    def _eligible(self, request: Request, executor: Executor, now: float) -> bool:
+        """Whether the rules allow it, and nothing speaks against this executor for this request."""
+        index = executor.endpoint.executor
+        if executor.busy >= executor.limit or now < executor.tenant_backoff.get(request.tenant, now):
+            return False
+        if index in request.failed_executors:
+            return False
+        class_index = request.class_index
+        failing = class_index in executor.error_rates
+        if failing and self.error_rate(executor, class_index, now) > ERROR_RATE_LIMIT:
+            return False
+        if index in request.missed_executors and request.function.index not in executor.resume:
+            return False
+        if any(attempt.executor is executor for attempt in request.in_flight.values()):
+            return False
+        return self.gate.allows_send(request, executor, len(self.ready), now)
+
+    def _expected_ms(self, executor: Executor, request: Request, now: float) -> float:
+        """The weighted backlog with this request, and the load that it would wait for."""
+        load_ms = request.function.load_ms if request.function.index in executor.load_requests else 0.0
+        return (
+            self.weighted_backlog(executor, now)
+            + self.service_time_factor(executor, now) * request.cost_ms
+            + load_ms
+        )
--- a/petrelway/routing/types.py
+++ b/petrelway/routing/types.py
@@ -1,7 +1,8 @@
-"""The host's side of the decision module: plain types and names, no policy.
+"""The types that the decisions and their host exchange: plain data, no policy.
 
-Times are milliseconds with fractions. Requests, executors and functions are small whole
-numbers that the host hands out and takes back when the module releases them.
+Times are milliseconds with fractions. Requests, executors and functions are small whole numbers that the host
+hands out and takes back when the decisions release them. The values of the enumerations are words of outside
+forms (settings, records, wires), whatever the members are called.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class Scope(Enum):
-    """Which executors drop the repeats of a stamped request."""
+    """Which executors drop the repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "hall"
@@ -27,7 +28,7 @@
 
 
 class Stage(Enum):
-    """What the list says of an executor."""
+    """What the endpoint list says of an executor."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -35,7 +36,7 @@
 
 
 class Outcome(IntEnum):
-    """How a attempt, an order to load or a probe ended."""
+    """How an attempt, a load request or a health check ended."""
 
     SUCCEEDED = 0
     ERROR = 1
@@ -49,7 +50,7 @@
 
     @property
     def label(self) -> str:
-        """Its word in counts, metrics and the console's JSON: an outside form, whatever the member is called."""
+        """Its word in counts, metrics and the console's JSON: an outside form."""
         return OUTCOME_LABELS[self]
 
 
@@ -69,7 +70,7 @@
 
 
 class Warmth(IntEnum):
-    """What an answer told of the copy it met."""
+    """What an answer said of the replica that it met."""
 
     UNTOLD = 0
     FOUND = 1
@@ -92,7 +93,7 @@
 }
 
 
-class Verb(Enum):
+class ActionKind(Enum):
     """What the host is asked to do."""
 
     SEND = "send"
@@ -102,18 +103,18 @@
     PREFETCH = "order to load"
     UNLOAD = "unload"
     PROBE = "probe"
-    TELL = "tell the peers"
+    NOTIFY_PEERS = "tell the peers"
     WAKE = "wake"
 
 
-class Decision(NamedTuple):
-    """One thing to do; the fields that the verb does not need stay at their defaults.
+class Action(NamedTuple):
+    """One thing to do; the fields that its kind does not need stay at their defaults.
 
-    `number` is the attempt to withdraw or the copies ordered; `ms` the retry time of a
-    reject, the time-out of a send (0: none) or the clock time of a wake.
+    `number` is the attempt to cancel or the replicas asked for; `ms` the retry time of a reject, the time-out
+    of a send (0: none) or the clock time of a wake.
     """
 
-    verb: Verb
+    kind: ActionKind
     request: int = -1
     executor: int = -1
     function: int = -1
@@ -123,6 +124,8 @@
 
 
 class RequestClass(NamedTuple):
+    """What is promised to the requests of one class."""
+
     idempotency: Idempotency
     scope: Scope
     window_ms: float
@@ -133,12 +136,14 @@
 
 
 class Tenant(NamedTuple):
+    """A tenant's share of the capacity."""
+
     portion: float
     rate: float  # requests a second within the share, over all front ends; 0: untold
 
 
 class Endpoint(NamedTuple):
-    """One line of the list of executors; `stable` is the same at every front end."""
+    """One entry of the endpoint list; `stable` is the executor's name, the same at every front end."""
 
     executor: int
     stable: str
@@ -150,7 +155,7 @@
     started_ms: float  # 0: long ago
 
 
-class Place(NamedTuple):
+class FleetPosition(NamedTuple):
     """Where this front end stands among its peers."""
 
     number: int
@@ -169,7 +174,7 @@
     longest_retry_ms: float  # 0: no retry time may be given
 
 
-class Keeping(NamedTuple):
+class LoadingSettings(NamedTuple):
     """How executors keep and load functions."""
 
     answers_miss: bool
@@ -179,29 +184,33 @@
     idle_price: float
 
 
-class ColdRule(NamedTuple):
+class SlowStartRule(NamedTuple):
+    """Rule 4: what an executor may get while its process is new."""
+
     multiple: float
     span_ms: float
     start_share: float
     warm_ms: float
 
 
-class LoadRation(NamedTuple):
-    window_ms: float  # 0: no ration
+class LoadQuotaRule(NamedTuple):
+    """Rule 5: load requests allowed within a window: some free, and a share of the requests taken."""
+
+    window_ms: float  # 0: no quota
     free: float
     share: float
 
 
-class Part(NamedTuple):
-    """So much of the fleet's rations is this front end's, until then; afterwards, and untold, its own
-    share."""
+class QuotaShare(NamedTuple):
+    """This front end's share of the fleet's quotas until a time; afterwards, or without one, its own share
+    counts."""
 
     share: float
     until_ms: float
 
 
-class Released(NamedTuple):
-    """Indices that the module has forgotten for good; the host may use them anew."""
+class ReleasedIndices(NamedTuple):
+    """Indices that the decisions have forgotten for good; the host may use them anew."""
 
     requests: list[int]
     executors: list[int]
--- a/petrelway/scenarios/baselines.py
+++ b/petrelway/scenarios/baselines.py
@@ -5,8 +5,9 @@
 from collections import deque
 from collections.abc import Iterable
 
-from ..routing.router import Executor, FrontEnd, Request
-from ..routing.types import Decision, Endpoint, Released, Stage, Verb
+from ..routing.router import FrontEnd
+from ..routing.state import Executor, Request
+from ..routing.types import Action, ActionKind, Endpoint, ReleasedIndices, Stage
 
 
 class RandomChoice(FrontEnd):
@@ -17,9 +18,9 @@
         return self.random_source.choice(fit) if fit else None
 
     def _allowed(self, t: Request, e: Executor, now: float) -> bool:
-        if any(x.executor is e for x in t.out.values()):
+        if any(x.executor is e for x in t.in_flight.values()):
             return False
-        return self.gate.send(t, e, len(self.ready), now)
+        return self.gate.allows_send(t, e, len(self.ready), now)
 
 
 class LeastLoaded(RandomChoice):
@@ -27,7 +28,7 @@
 
     def choose(self, t: Request, now: float) -> Executor | None:
         fit = [e for e in self.ready if self._allowed(t, e, now)]
-        return min(fit, key=lambda e: (len(e.out), self.random_source.random())) if fit else None
+        return min(fit, key=lambda e: (len(e.in_flight), self.random_source.random())) if fit else None
 
 
 class PassThrough:
@@ -36,8 +37,8 @@
     def __init__(self, now: float, *_: object) -> None:
         self.executors: list[int] = []
         self.turn = 0
-        self.todo: deque[Decision] = deque()
-        self.done = Released([], [], [])
+        self.todo: deque[Action] = deque()
+        self.done = ReleasedIndices([], [], [])
 
     def executors_listed(self, now: float, endpoints: Iterable[Endpoint], complete: bool) -> None:
         told = {x.executor: x.stage is Stage.READY for x in endpoints}
@@ -58,11 +59,11 @@
         *_: object,
     ) -> None:
         if not self.executors:
-            self.todo.append(Decision(Verb.REJECT, request))
+            self.todo.append(Action(ActionKind.REJECT, request))
             self.done.requests.append(request)
             return
         self.turn = (self.turn + 1) % len(self.executors)
-        self.todo.append(Decision(Verb.SEND, request, self.executors[self.turn]))
+        self.todo.append(Action(ActionKind.SEND, request, self.executors[self.turn]))
 
     def attempt_ended(
         self,
@@ -75,25 +76,25 @@
         *_: object,
     ) -> None:
         if not finished:
-            self.todo.append(Decision(Verb.FAIL, request))
+            self.todo.append(Action(ActionKind.FAIL, request))
         self.done.requests.append(request)
 
     def load_request_answered(self, *_: object) -> None:
         pass
 
-    client_gone = time_passed = part_told = load_request_answered
+    client_gone = time_passed = quota_share_changed = load_request_answered
 
-    def may_go(self, *_: object) -> bool:
+    def may_still_send(self, *_: object) -> bool:
         return True
 
-    def failed(self) -> int:
+    def decision_failed(self) -> int:
         return -1
 
-    def decide(self, now: float) -> Decision | None:
+    def decide(self, now: float) -> Action | None:
         return self.todo.popleft() if self.todo else None
 
-    def released(self) -> Released:
-        done, self.done = self.done, Released([], [], [])
+    def released(self) -> ReleasedIndices:
+        done, self.done = self.done, ReleasedIndices([], [], [])
         return done
 
 
--- a/petrelway/simulator_adapter/__init__.py
+++ b/petrelway/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The drill: the decision module on the simulator's wire."""
+"""The decisions on the simulator's wire: lines of events in, lines of actions out."""
--- a/petrelway/simulator_adapter/__main__.py
+++ b/petrelway/simulator_adapter/__main__.py
@@ -1,45 +1,35 @@
-"""The loop: one line of events in, one line of actions out."""
+"""The loop of the adapter: one line of events in, one line of actions out, until the input ends."""
 
 from __future__ import annotations
 
 import json
 import sys
-from typing import TextIO
+from typing import Any, TextIO
 
-from .codec import Door, WireError
+from .codec import MS_PER_S, SimulatedInstance, WireError
 
 
-def reply(doors: dict[str, Door], line: str) -> str:
-    """Answer one batch."""
+def reply(instances: dict[str, SimulatedInstance], line: str) -> str:
+    """Answer one batch. Raises WireError if the wire does not allow it."""
     try:
         batch = json.loads(line)
-        clock, items = batch["wallS"], batch["items"]
+        clock_s = batch["wallS"]
+        items = batch["items"]
         turn = batch["turn"]
     except (ValueError, KeyError, TypeError) as error:
         raise WireError(f"not a batch: {error}") from error
-    now = clock * 1e3
+    now = clock_s * MS_PER_S
     awake: dict[str, None] = {}
-    actions: list[list] = []
     for item in items:
         try:
-            kind, name = item[0], item[1]
-            if kind == "begin":
-                doors[name] = Door(name, now, item[2], item[3])
-            elif kind == "shutdown":
-                doors.pop(name, None)
-                awake.pop(name, None)
-                continue
-            elif name not in doors:
-                raise WireError(f"event {kind!r} for {name!r}, which has not begun")
-            else:
-                doors[name].event(now, item)
-            awake[name] = None
+            _handle(instances, awake, now, item)
         except (IndexError, KeyError, TypeError, ValueError) as error:
             raise WireError(f"malformed event {item!r:.200}: {error!r}") from error
+    actions: list[list[Any]] = []
     for name in awake:
         try:
-            actions.extend(doors[name].actions(now))
-        except Exception as error:  # the wire asks for a word when the decision code itself fails
+            actions.extend(instances[name].actions(now))
+        except Exception as error:  # the wire asks for an action when the decisions themselves fail
             print(
                 f"petrelway.simulator_adapter: the decision code failed for {name}: {error!r}",
                 file=sys.stderr,
@@ -48,15 +38,35 @@
     return json.dumps({"turn": turn, "actions": actions}, separators=(",", ":"))
 
 
+def _handle(
+    instances: dict[str, SimulatedInstance], awake: dict[str, None], now: float, item: list[Any]
+) -> None:
+    """Take in one event; `awake` collects the instances that are to be asked for actions, in order."""
+    kind = item[0]
+    name = item[1]
+    if kind == "shutdown":
+        instances.pop(name, None)
+        awake.pop(name, None)
+        return
+    if kind == "begin":
+        instances[name] = SimulatedInstance(name, now, item[2], item[3])
+    elif name not in instances:
+        raise WireError(f"event {kind!r} for {name!r}, which has not begun")
+    else:
+        instances[name].event(now, item)
+    awake[name] = None
+
+
 def main(source: TextIO, sink: TextIO) -> int:
-    doors: dict[str, Door] = {}
+    """Answer batches until the input ends; 1 after a line that the wire does not allow."""
+    instances: dict[str, SimulatedInstance] = {}
     for line in source:
         if not line.strip():
             continue
         try:
-            sink.write(reply(doors, line) + "\n")
-        except WireError as fault:
-            print(f"petrelway.simulator_adapter: {fault}", file=sys.stderr)
+            sink.write(reply(instances, line) + "\n")
+        except WireError as error:
+            print(f"petrelway.simulator_adapter: {error}", file=sys.stderr)
             return 1
         sink.flush()
     return 0
--- a/petrelway/simulator_adapter/codec.py
+++ b/petrelway/simulator_adapter/codec.py
@@ -1,12 +1,17 @@
-"""Between the wire's words and the module's: one Door for each instance."""
+"""The codec between the simulator's wire and the decisions: one SimulatedInstance for each front end.
+
+Called by the loop in `__main__`. The wire's words stand here alone.
+"""
 
 from __future__ import annotations
 
 from base64 import b64encode
+from collections.abc import Callable
+from typing import Any
 
 from ..common.deployment_settings import DeploymentSettingsError, read_terms
 from ..common.index_table import Ids
-from ..routing.types import Decision, Endpoint, Outcome, Stage, Verb, Warmth
+from ..routing.types import Action, ActionKind, Endpoint, Outcome, Stage, Warmth
 
 STAGES = {"active": Stage.READY, "leaving": Stage.DRAINING, "left": Stage.GONE}
 OUTCOMES = {
@@ -20,117 +25,161 @@
     "N": Outcome.UNSENT,
     "M": Outcome.MISS,
 }
+ACTION_NAMES = {
+    ActionKind.SEND: "forward",
+    ActionKind.CANCEL: "dropAttempt",
+    ActionKind.REJECT: "bounce",
+    ActionKind.FAIL: "respondError",
+    ActionKind.PREFETCH: "startCopy",
+    ActionKind.UNLOAD: "drop",
+    ActionKind.PROBE: "ping",
+    ActionKind.NOTIFY_PEERS: "signal",
+    ActionKind.WAKE: "schedule",
+}
+IGNORED_EVENTS = ("firstByte", "inbox", "probeResult")  # answers to actions that the decisions never ask for
+MS_PER_S = 1e3
+UNKNOWN_INDEX = -1
+COST_HINTED = 1  # bits of a request's marks
+CLIENT_RETRY = 2
+WARMTH_BITS = 7  # of the remark of an attempt's end
+NO_LIST = "X"  # forms of an endpoint list; any other is a whole one
+PARTIAL_LIST = "D"
 
 
 class WireError(Exception):
     """A line that the wire page does not allow, in one plain sentence."""
 
 
-class Door:
-    """One instance's door: events in, actions out, ids mapped on the way."""
+class SimulatedInstance:
+    """One front end of a simulation: events in, actions out, ids mapped on the way."""
 
-    def __init__(self, name: str, now: float, seed: int, told: dict) -> None:
+    def __init__(self, name: str, now: float, seed: int, settings: dict[str, Any]) -> None:
+        """Begin the instance. Raises WireError if its settings are not sound."""
         self.name = name
-        self.requests, self.executors, self.functions = Ids(), Ids(), Ids()
+        self.requests = Ids()
+        self.executors = Ids()
+        self.functions = Ids()
         try:
-            self.front_end = read_terms(told).front_end(now, seed)
-        except DeploymentSettingsError as fault:
-            raise WireError(f"begin of {name}: {fault}") from fault
-
-    def event(self, now: float, item: list) -> None:
-        """Hand one event to the module as a call."""
-        kind, front_end = item[0], self.front_end
-        if kind == "knock":
-            rid, start_ms, cost_s, ttl_s, lanes, fn, request_class, tenant, marks, memory = item[2:12]
-            function, new = self.functions.enter(fn)
-            if new:
-                front_end.function_named(now, function, str(fn), memory or 0.0, lanes or 1, start_ms or 0.0)
-            hinted = cost_s if cost_s and (marks or 0) & 1 else 0.0
-            if not 0 <= (request_class or 0) < len(front_end.request_classes):
-                raise WireError(f"knock names class {request_class}, which the settings do not list")
-            request, _ = self.requests.enter(rid)
-            front_end.request_taken(
-                now,
-                request,
-                request_class or 0,
-                tenant or 0,
-                function,
-                (ttl_s or 0.0) * 1e3,
-                hinted * 1e3,
-                bool((marks or 0) & 2),
-            )
-        elif kind == "reportBack":
-            rid, number, _, code, delay, finished, remark = (item[2:] + [None])[:7]
-            request, remark = self.requests.index.get(rid), remark or 0
-            if request is not None:
-                front_end.attempt_ended(
-                    now,
-                    request,
-                    number,
-                    _outcome(code),
-                    (delay or 0.0) * 1e3,
-                    bool(finished),
-                    Warmth(remark & 7),
-                )
-        elif kind == "reminder":
-            front_end.time_passed(now)
-        elif kind == "topology":
-            if item[3] != "X":
-                endpoints = [self._endpoint(entry) for entry in item[4] or []]
-                front_end.executors_listed(now, endpoints, item[3] != "D")
-        elif kind == "dropped":
-            request = self.requests.index.get(item[2])
-            if request is not None:
-                front_end.client_gone(now, request)
-        elif kind == "loadDone":
-            code, delay, executor, fn, replicas = item[2:7]
-            function = self.functions.index.get(fn)
-            if function is not None:
-                front_end.load_request_answered(
-                    now,
-                    self._executor(executor),
-                    function,
-                    _outcome(code),
-                    replicas or 0,
-                    (delay or 0.0) * 1e3,
-                )
-        elif kind not in ("firstByte", "inbox", "probeResult"):  # the module asks for none of these yet
+            self.front_end = read_terms(settings).front_end(now, seed)
+        except DeploymentSettingsError as error:
+            raise WireError(f"begin of {name}: {error}") from error
+
+    def event(self, now: float, item: list[Any]) -> None:
+        """Hand one event to the decisions as a call. Raises WireError if the wire has no such event."""
+        kind = item[0]
+        if kind in IGNORED_EVENTS:
+            return
+        handler = EVENT_HANDLERS.get(kind)
+        if handler is None:
             raise WireError(f"unknown event {kind!r}")
+        handler(self, now, item)
 
-    def actions(self, now: float) -> list[list]:
-        """Pull the module's decisions until there is none."""
+    def actions(self, now: float) -> list[list[Any]]:
+        """Pull decisions until there is none; the actions of the wire."""
         found = []
-        while (decision := self.front_end.decide(now)) is not None:
-            found.append(self._action(decision))
-        free = self.front_end.released()
-        self.requests.leave(free.requests)
-        self.executors.leave(free.executors)
-        self.functions.leave(free.functions)
+        while (action := self.front_end.decide(now)) is not None:
+            found.append(self._action(action))
+        freed = self.front_end.released()
+        self.requests.leave(freed.requests)
+        self.executors.leave(freed.executors)
+        self.functions.leave(freed.functions)
         return found
 
-    def _action(self, d: Decision) -> list:
-        request, executor = self.requests.wire.get(d.request), self.executors.wire.get(d.executor)
-        function = self.functions.wire.get(d.function)
-        if d.verb is Verb.SEND:
-            return ["forward", self.name, request, executor, d.ms / 1e3]
-        if d.verb is Verb.CANCEL:
-            return ["dropAttempt", self.name, request, d.number]
-        if d.verb is Verb.REJECT:
-            return ["bounce", self.name, request, d.ms / 1e3]
-        if d.verb is Verb.FAIL:
-            return ["respondError", self.name, request]
-        if d.verb is Verb.PREFETCH:
-            return ["startCopy", self.name, executor, d.number, function]
-        if d.verb is Verb.UNLOAD:
-            return ["drop", self.name, function, executor]
-        if d.verb is Verb.PROBE:
-            return ["ping", self.name, executor]
-        if d.verb is Verb.TELL:
-            return ["signal", self.name, "all", b64encode(d.payload).decode()]
-        return ["schedule", self.name, d.ms / 1e3, "look"]
-
-    def _endpoint(self, entry: list) -> Endpoint:
-        wire, zone, machine, cell, stage, weight, started = (entry + [None, None])[:7]
+    def _request_taken(self, now: float, item: list[Any]) -> None:
+        wire_id, start_ms, cost_s, ttl_s, lanes, name, request_class, tenant, marks, memory_mb = item[2:12]
+        function, is_new = self.functions.enter(name)
+        if is_new:
+            self.front_end.function_named(
+                now, function, str(name), memory_mb or 0.0, lanes or 1, start_ms or 0.0
+            )
+        hinted_s = cost_s if cost_s and (marks or 0) & COST_HINTED else 0.0
+        if not 0 <= (request_class or 0) < len(self.front_end.request_classes):
+            raise WireError(f"knock names class {request_class}, which the settings do not list")
+        request, _ = self.requests.enter(wire_id)
+        self.front_end.request_taken(
+            now,
+            request,
+            request_class or 0,
+            tenant or 0,
+            function,
+            (ttl_s or 0.0) * MS_PER_S,
+            hinted_s * MS_PER_S,
+            bool((marks or 0) & CLIENT_RETRY),
+        )
+
+    def _attempt_ended(self, now: float, item: list[Any]) -> None:
+        wire_id, number, _, code, took_s, finished, remark = [*item[2:], None][:7]
+        request = self.requests.index.get(wire_id)
+        if request is None:
+            return
+        self.front_end.attempt_ended(
+            now,
+            request,
+            number,
+            _outcome(code),
+            (took_s or 0.0) * MS_PER_S,
+            bool(finished),
+            Warmth((remark or 0) & WARMTH_BITS),
+        )
+
+    def _time_passed(self, now: float, item: list[Any]) -> None:
+        self.front_end.time_passed(now)
+
+    def _executors_listed(self, now: float, item: list[Any]) -> None:
+        if item[3] == NO_LIST:
+            return
+        endpoints = [self._endpoint(entry) for entry in item[4] or []]
+        self.front_end.executors_listed(now, endpoints, item[3] != PARTIAL_LIST)
+
+    def _client_gone(self, now: float, item: list[Any]) -> None:
+        request = self.requests.index.get(item[2])
+        if request is not None:
+            self.front_end.client_gone(now, request)
+
+    def _load_request_answered(self, now: float, item: list[Any]) -> None:
+        code, took_s, executor, name, replicas = item[2:7]
+        function = self.functions.index.get(name)
+        if function is None:
+            return
+        self.front_end.load_request_answered(
+            now,
+            self.executors.index.get(executor, UNKNOWN_INDEX),
+            function,
+            _outcome(code),
+            replicas or 0,
+            (took_s or 0.0) * MS_PER_S,
+        )
+
+    def _action(self, action: Action) -> list[Any]:
+        """The wire's form of an action."""
+        return [ACTION_NAMES[action.kind], self.name, *self._arguments(action)]
+
+    def _arguments(self, action: Action) -> list[Any]:
+        request = self.requests.wire.get(action.request)
+        executor = self.executors.wire.get(action.executor)
+        function = self.functions.wire.get(action.function)
+        match action.kind:
+            case ActionKind.SEND:
+                return [request, executor, action.ms / MS_PER_S]
+            case ActionKind.CANCEL:
+                return [request, action.number]
+            case ActionKind.REJECT:
+                return [request, action.ms / MS_PER_S]
+            case ActionKind.FAIL:
+                return [request]
+            case ActionKind.PREFETCH:
+                return [executor, action.number, function]
+            case ActionKind.UNLOAD:
+                return [function, executor]
+            case ActionKind.PROBE:
+                return [executor]
+            case ActionKind.NOTIFY_PEERS:
+                return ["all", b64encode(action.payload).decode()]
+            case ActionKind.WAKE:
+                return [action.ms / MS_PER_S, "look"]
+
+    def _endpoint(self, entry: list[Any]) -> Endpoint:
+        wire, zone, machine, cell, stage, weight, started = [*entry, None, None][:7]
         if stage not in STAGES:
             raise WireError(f"topology names an unknown state {stage!r}")
         index, _ = self.executors.enter(wire)
@@ -142,11 +191,18 @@
             cell or 0,
             STAGES[stage],
             weight or 1.0,
-            (started or 0.0) * 1e3,
+            (started or 0.0) * MS_PER_S,
         )
 
-    def _executor(self, wire: str) -> int:
-        return self.executors.index.get(wire, -1)
+
+EVENT_HANDLERS: dict[str, Callable[[SimulatedInstance, float, list[Any]], None]] = {
+    "knock": SimulatedInstance._request_taken,
+    "reportBack": SimulatedInstance._attempt_ended,
+    "reminder": SimulatedInstance._time_passed,
+    "topology": SimulatedInstance._executors_listed,
+    "dropped": SimulatedInstance._client_gone,
+    "loadDone": SimulatedInstance._load_request_answered,
+}
 
 
 def _outcome(code: str) -> Outcome:
--- a/tests/compatibility/forms_drill.py
+++ b/tests/compatibility/forms_drill.py
@@ -9,9 +9,9 @@
 from wire_form_cases import Recorder, plain
 
 from petrelway.fakes.platform_peers import SETTINGS
-from petrelway.routing.types import Decision, Verb
+from petrelway.routing.types import Action, ActionKind
 from petrelway.simulator_adapter.__main__ import reply
-from petrelway.simulator_adapter.codec import Door, WireError
+from petrelway.simulator_adapter.codec import SimulatedInstance, WireError
 
 TOPIC = "drill"
 NOW_MS = 1000.0
@@ -19,20 +19,20 @@
 TOPOLOGY = ["topology", "a", 1, "F", [["s-1", 0, 0, 2, "active", 1.5, 0.5]]]
 KNOCK = ["knock", "a", "r1", 1200.0, 0.25, 1.5, 2, "fn-1", 0, 1, 3, 512.0]
 DECISIONS = {
-    "send": Decision(Verb.SEND, 0, 0, 0, 1, 1500.0),
-    "withdraw": Decision(Verb.CANCEL, 0, 0, 0, 1),
-    "nack": Decision(Verb.REJECT, 0, ms=250.0),
-    "break-off": Decision(Verb.FAIL, 0),
-    "order": Decision(Verb.PREFETCH, -1, 0, 0, 2),
-    "unload": Decision(Verb.UNLOAD, -1, 0, 0),
-    "probe": Decision(Verb.PROBE, -1, 0),
-    "tell": Decision(Verb.TELL, payload=b"\x00peer"),
-    "wake": Decision(Verb.WAKE, ms=2500.0),
+    "send": Action(ActionKind.SEND, 0, 0, 0, 1, 1500.0),
+    "withdraw": Action(ActionKind.CANCEL, 0, 0, 0, 1),
+    "nack": Action(ActionKind.REJECT, 0, ms=250.0),
+    "break-off": Action(ActionKind.FAIL, 0),
+    "order": Action(ActionKind.PREFETCH, -1, 0, 0, 2),
+    "unload": Action(ActionKind.UNLOAD, -1, 0, 0),
+    "probe": Action(ActionKind.PROBE, -1, 0),
+    "tell": Action(ActionKind.NOTIFY_PEERS, payload=b"\x00peer"),
+    "wake": Action(ActionKind.WAKE, ms=2500.0),
 }
 
 
-class FailingDoor:
-    """A door whose decision code fails."""
+class FailingInstance:
+    """An instance whose decision code fails."""
 
     def event(self, now: float, item: list) -> None:
         pass
@@ -41,21 +41,21 @@
         raise ValueError("broken")
 
 
-def _door() -> Door:
-    """A door that knows executor s-1, function fn-1 and request r1, with a module that only listens."""
-    door = Door("a", NOW_MS, 1, SETTINGS)
-    door.front_end = Recorder(door.front_end)
-    door.event(NOW_MS, TOPOLOGY)
-    door.event(NOW_MS, KNOCK)
-    door.front_end.calls.clear()
-    return door
+def _instance() -> SimulatedInstance:
+    """An instance that knows executor s-1, function fn-1 and request r1, with a module that only listens."""
+    instance = SimulatedInstance("a", NOW_MS, 1, SETTINGS)
+    instance.front_end = Recorder(instance.front_end)
+    instance.event(NOW_MS, TOPOLOGY)
+    instance.event(NOW_MS, KNOCK)
+    instance.front_end.calls.clear()
+    return instance
 
 
 def written() -> dict[str, Any]:
     """The action of each decision, and the answers to whole batches."""
-    actions = {f"action.{name}": _door()._action(decision) for name, decision in DECISIONS.items()}
+    actions = {f"action.{name}": _instance()._action(decision) for name, decision in DECISIONS.items()}
     begin = ["begin", "a", 1, SETTINGS]
-    doors = {"b": FailingDoor()}
+    instances = {"b": FailingInstance()}
     batches = {
         "begin": [begin, TOPOLOGY, KNOCK],
         "shutdown": [["shutdown", "a"]],
@@ -64,7 +64,7 @@
     replies = {}
     for turn, (name, items) in enumerate(batches.items()):
         line = json.dumps({"wallS": 1.0 + turn, "turn": turn, "items": items})
-        replies[f"batch.{name}"] = [line, PAST_MICROSECONDS.sub("", reply(doors, line))]
+        replies[f"batch.{name}"] = [line, PAST_MICROSECONDS.sub("", reply(instances, line))]
     return {**actions, **replies}
 
 
@@ -72,9 +72,9 @@
     """What an event tells the module, or the fault that it is; None for what is not read."""
     if not name.startswith("event"):
         return None
-    door = _door()
+    instance = _instance()
     try:
-        door.event(NOW_MS, text)
+        instance.event(NOW_MS, text)
     except WireError as fault:
         return str(fault)
-    return plain(door.front_end.calls)
+    return plain(instance.front_end.calls)
--- a/tests/compatibility/forms_shared_hashes.py
+++ b/tests/compatibility/forms_shared_hashes.py
@@ -10,7 +10,7 @@
 from petrelway.policy.raft import Keeper
 from petrelway.routing.hash_ring import HashRing, RingWindow
 from petrelway.routing.ranking import FunctionRank, shared_rank
-from petrelway.routing.router import Function
+from petrelway.routing.selection import Function
 from petrelway.routing.state import salt_of
 
 TOPIC = "shared_hashes"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,20 +2,20 @@
 
 from petrelway.routing.router import FrontEnd
 from petrelway.routing.types import (
+    Action,
+    ActionKind,
     Capabilities,
-    ColdRule,
-    Decision,
     Endpoint,
+    FleetPosition,
     Idempotency,
-    Keeping,
-    LoadRation,
+    LoadingSettings,
+    LoadQuotaRule,
     Outcome,
-    Place,
     RequestClass,
     Scope,
+    SlowStartRule,
     Stage,
     Tenant,
-    Verb,
     Warmth,
 )
 
@@ -41,13 +41,13 @@
         self.fe = FrontEnd(
             START,
             seed,
-            Place(0, peers, 0),
+            FleetPosition(0, peers, 0),
             [RequestClass(idempotency, scope, 4000.0, 1000.0, 4000.0, 1.0, 0.1)],
             [Tenant(0.6, rate), Tenant(0.4, rate)],
             Capabilities(sends, seconds, True, False, False, 500.0),
-            Keeping(misses, True, 8000.0, 10000.0, 0.1),
-            ColdRule(4.0, 1500.0, 0.2, 15000.0),
-            LoadRation(*ration),
+            LoadingSettings(misses, True, 8000.0, 10000.0, 0.1),
+            SlowStartRule(4.0, 1500.0, 0.2, 15000.0),
+            LoadQuotaRule(*ration),
         )
         self.serial = 0
         if executors:
@@ -62,7 +62,7 @@
 
     def rich(self):
         """Enough own requests asked for that our counts tell."""
-        self.fe.asked = 1e9
+        self.fe.demand = 1e9
 
     def take(self, function=0, remaining=4000.0, work=100.0, tenant=0):
         if function not in self.fe.functions:
@@ -75,17 +75,17 @@
         done = outcome is Outcome.SUCCEEDED if finished is None else finished
         self.fe.attempt_ended(self.now, request, number, outcome, took, done, warmth)
 
-    def pull(self, forward=0.0) -> list[Decision]:
+    def pull(self, forward=0.0) -> list[Action]:
         """All decisions now, or up to a later time as the wakes fall due."""
         until, found = self.now + forward, []
         while True:
             while (d := self.fe.decide(self.now)) is not None:
-                if d.verb is not Verb.WAKE:
+                if d.kind is not ActionKind.WAKE:
                     found.append(d)
-            if self.fe.wake_ms > until:
+            if self.fe.next_wake_ms > until:
                 self.now = until
                 return found
-            self.now = max(self.now, self.fe.wake_ms)
+            self.now = max(self.now, self.fe.next_wake_ms)
             self.fe.time_passed(self.now)
 
     def only(self, executor):
@@ -98,11 +98,11 @@
         self.only(executor)
         for _ in range(times):
             t = self.take(function)
-            assert [d.executor for d in self.pull() if d.verb is Verb.SEND] == [executor]
+            assert [d.executor for d in self.pull() if d.kind is ActionKind.SEND] == [executor]
             self.end(t, Outcome.SUCCEEDED, executor=executor)
             self.pull()
         self.only(None)
 
 
 def verbs(decisions) -> list[str]:
-    return [d.verb.name for d in decisions]
+    return [d.kind.name for d in decisions]
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -4,8 +4,10 @@
 
 from helpers import START, Host, verbs
 
-from petrelway.routing.router import LIMIT_LEAST, MANY, Attempt
-from petrelway.routing.types import Outcome, Stage, Verb, Warmth
+from petrelway.routing.concurrency import LIMIT_LEAST
+from petrelway.routing.selection import SAMPLE_SIZE
+from petrelway.routing.state import Attempt
+from petrelway.routing.types import ActionKind, Outcome, Stage, Warmth
 
 
 def ask(host, function=0, tenant=0):
@@ -13,7 +15,7 @@
     t = host.fe.requests[host.take(function, tenant=tenant)]
     chosen = host.fe.choose(t, host.now)
     del host.fe.requests[t.index]
-    host.fe.attention.clear()
+    host.fe.ready_queue.clear()
     return chosen
 
 
@@ -32,15 +34,15 @@
         host.teach(0)
         host.teach(1)
         host.rich()
-        host.fe.mean_ms = host.fe.mean_size = 100.0
+        host.fe.mean_ms = host.fe.mean_cost_ms = 100.0
         host.take(1)
         for e in range(2):
             x = host.fe.executors[e]
             f, g = host.fe.functions[0], host.fe.functions[1]
-            x.out = {
+            x.in_flight = {
                 (-k, 0): Attempt(0, x, f if k < own[e] else g, 0.0, 0.0) for k in range(own[e] + others[e])
             }
-        host.fe.out = sum(own + others)
+        host.fe.attempts_in_flight = sum(own + others)
         chosen = ask(host).endpoint.executor
         assert (chosen >= 2) if expected == "unskilled" else chosen in expected, (own, others, chosen)
 
@@ -64,9 +66,9 @@
         for k in range(40):
             host.now += 400.0
             host.take(0 if k < hot else k)
-        host.fe.asked *= 1 if peers > 1 else 500
-        host.fe.functions[0].asked *= 1 if peers > 1 else 500
-        assert least <= host.fe.homes(host.fe.functions[0], host.now) <= most, (hot, peers)
+        host.fe.demand *= 1 if peers > 1 else 500
+        host.fe.functions[0].demand *= 1 if peers > 1 else 500
+        assert least <= host.fe.preferred_count(host.fe.functions[0], host.now) <= most, (hot, peers)
 
 
 def test_heavy_traffic_in_a_sparse_view():
@@ -79,7 +81,7 @@
     ):
         host = Host(20)
         host.teach(0)
-        host.fe.out, host.fe.limit, host.fe.kind_pace = out, limit, {0: 1.0}
+        host.fe.attempts_in_flight, host.fe.limit, host.fe.service_time_baselines = out, limit, {0: 1.0}
         host.take(work=work)
         assert verbs(host.pull()) == expected, (out, limit, work)
 
@@ -135,10 +137,10 @@
     host.rich()
     host.take()
     first = host.pull()[0]
-    later = [d for d in host.pull(600.0) if d.verb is Verb.SEND]
+    later = [d for d in host.pull(600.0) if d.kind is ActionKind.SEND]
     assert len(later) == 1 and later[0].executor == 1 - first.executor
     slow = host.fe.executors[first.executor]
-    assert host.fe.out == 1 and host.fe.pace(slow, host.now) > 1.5
+    assert host.fe.attempts_in_flight == 1 and host.fe.service_time_factor(slow, host.now) > 1.5
 
 
 def test_own_stall_proves_nothing():
@@ -148,9 +150,9 @@
         host.teach(0)
         t = host.take()
         d = host.pull()[0]
-        host.now = host.fe.wake_ms + stall
+        host.now = host.fe.next_wake_ms + stall
         host.end(t, Outcome.SUCCEEDED, executor=d.executor, took=host.now - START)
-        assert (host.fe.executors[d.executor].pace == 1.0) == bool(stall)
+        assert (host.fe.executors[d.executor].service_time_factor == 1.0) == bool(stall)
 
 
 def test_slow_full_counts_for_one_tenant():
@@ -174,9 +176,9 @@
         host.teach(function, function)
         host.take(function)
         host.pull()
-        host.fe.executors[function].weigh(0, 1.0)
+        host.fe.executors[function].adjust_load(0, 1.0)
     t = host.take(0)
-    host.fe.seconds = 0.0
+    host.fe.hedge_budget = 0.0
     assert verbs(host.pull(250.0)) == []  # held for a place
     assert verbs(host.pull(200.0)) == ["REJECT"] and t not in host.fe.requests
 
@@ -213,7 +215,7 @@
         host.teach(0)
         e = host.fe.executors
         for index in range(crowded):
-            e[index].weigh(1, 0.5)
+            e[index].adjust_load(1, 0.5)
         for index in range(loads):
             e[7].load_requested(90 + index, host.now)
         if own:
@@ -228,7 +230,7 @@
         host = Host(2)
         host.teach(0)
         for e in host.fe.ready:
-            e.weigh(1, 0.5)
+            e.adjust_load(1, 0.5)
         host.fe.request_taken(host.now, 99, 0, 0, 0, 4000.0, 100.0, repeat)
         assert verbs(host.pull()) == expected, repeat
 
@@ -244,7 +246,7 @@
             sent = host.pull()
             host.end(t, Outcome.SUCCEEDED, executor=sent[0].executor, took=took)
             host.pull()
-        before.append(host.fe.view(host.now))
+        before.append(host.fe.requests_per_executor(host.now))
     assert before[1] < 2 * before[0] and host.fe.limit < 8.0
 
 
@@ -254,12 +256,12 @@
         host = Host(3, ration=ration)
         for i in range(600):
             t = host.take(i % 50)
-            sent = [d for d in host.pull(100.0) if d.verb is Verb.SEND]
+            sent = [d for d in host.pull(100.0) if d.kind is ActionKind.SEND]
             host.end(t, Outcome.SUCCEEDED, executor=sent[0].executor)
         host.pull(1100.0)
-        assert len(host.fe.gate.taken) <= 60 and len(host.fe.due) < 100 and not host.fe.attention
+        assert len(host.fe.gate.taken) <= 60 and len(host.fe.timers) < 100 and not host.fe.ready_queue
     host.pull(130_000.0)
-    assert host.fe.functions == {} and host.fe.requests == {} and len(host.fe.due) < 5
+    assert host.fe.functions == {} and host.fe.requests == {} and len(host.fe.timers) < 5
 
 
 def test_a_decision_that_raises():
@@ -268,19 +270,19 @@
     sick, well = host.take(0), host.take(1)
     choose = host.fe.choose
     host.fe.choose = lambda t, now: 1 / 0 if t.index == sick else choose(t, now)
-    assert host.fe.failed() == -1
+    assert host.fe.decision_failed() == -1
     try:
         host.pull()
     except ZeroDivisionError:
-        assert host.fe.failed() == sick
-    assert [d.request for d in host.pull()] == [well] and host.fe.failed() == -1
+        assert host.fe.decision_failed() == sick
+    assert [d.request for d in host.pull()] == [well] and host.fe.decision_failed() == -1
     assert host.fe.released().requests == [sick] and list(host.fe.requests) == [well]
 
 
 def check_sums(fe):
     fleet, ready = fe.fleet, [e for e in fe.executors.values() if e.endpoint.stage is Stage.READY]
     assert set(fleet.ready) == set(ready) and len(fleet.ready) == len(ready) and fe.ready is fleet.ready
-    assert fleet.crowded == sum(e.busy >= e.limit for e in ready)
+    assert fleet.saturated == sum(e.busy >= e.limit for e in ready)
     assert fleet.load_requests == sum(len(e.load_requests) for e in ready) == sum(fleet.loading.values())
     assert all(fleet.loading[i] == sum(i in e.load_requests for e in ready) > 0 for i in fleet.loading)
     for f in fe.functions.values():
@@ -306,9 +308,9 @@
             if random_source.random() < 0.6:
                 host.take(random_source.randrange(5), work=random_source.choice([0.0, 50.0, 400.0]))
             for d in host.pull(random_source.choice([0.0, 5.0, 60.0, 3000.0])):
-                if d.verb is Verb.SEND:
+                if d.kind is ActionKind.SEND:
                     out.setdefault(d.request, []).append(len(out.get(d.request, ())))
-                elif d.verb is Verb.PREFETCH:
+                elif d.kind is ActionKind.PREFETCH:
                     end = random_source.choice(list(Outcome))
                     host.fe.load_request_answered(host.now, d.executor, d.function, end, 1, 300.0)
             for t in random_source.sample(sorted(out), min(2, len(out))):
@@ -327,7 +329,7 @@
         sends = []
         for _ in range(100):
             host.take(host.serial % 50, work=100.0)
-        sends = [d for d in host.pull() if d.verb is Verb.SEND]
+        sends = [d for d in host.pull() if d.kind is ActionKind.SEND]
         host.now += 100.0
         for d in sends:
             host.end(d.request, Outcome.SUCCEEDED, took=100.0)
@@ -341,13 +343,13 @@
     f = host.fe.functions.get(0) or host.fe.functions[host.fe.requests[host.take(0)].function.index]
     host.rich()
     for e in host.fe.ready:
-        host.fe._skilled(e, f, host.now)
-    looked, real = [], host.fe._fit
-    host.fe._fit = lambda t, e, now: looked.append(e.endpoint.executor) or real(t, e, now)
+        host.fe._add_skill(e, f, host.now)
+    looked, real = [], host.fe._eligible
+    host.fe._eligible = lambda t, e, now: looked.append(e.endpoint.executor) or real(t, e, now)
     for _ in range(300):
         before = len(looked)
         assert ask(host) is not None
-        assert MANY <= len(looked) - before <= 3 * MANY
+        assert SAMPLE_SIZE <= len(looked) - before <= 3 * SAMPLE_SIZE
     assert len(set(looked)) == 400
 
 
@@ -358,19 +360,19 @@
     # one answer in so many is late -> where is the limit for all own requests, 12 at the start
     for one_in, expected in ((2, "floor"), (20, "open"), (10**9, "open")):
         host = Host(30, seconds=False)
-        host.fe.cut_ms = host.now - 1.0  # past the doubling
+        host.fe.limit_decreased_ms = host.now - 1.0  # past the doubling
         sent = {}
         for i in range(600):
             host.take(i % 4, work=100.0)
             for d in host.pull(20.0):
-                if d.verb is Verb.SEND:
+                if d.kind is ActionKind.SEND:
                     sent[d.request] = host.now
             for t in [t for t, at in sent.items() if host.now - at >= 100.0]:
                 del sent[t]
                 late = t > 40 and t % one_in == one_in - 1
                 host.end(t, Outcome.SUCCEEDED, took=950.0 if late else 100.0)
         found = "floor" if host.fe.limit < 5.0 else "open" if host.fe.limit >= 12.0 else "between"
-        assert found == expected, (one_in, host.fe.limit, host.fe.late)
+        assert found == expected, (one_in, host.fe.limit, host.fe.late_ratio)
 
 
 def test_the_limit_holds_wherever_that_of_each_executor_cannot():
@@ -379,8 +381,8 @@
     for view, expected in ((0.1, []), (0.5, []), (LIMIT_LEAST - 0.1, []), (LIMIT_LEAST + 0.1, ["SEND"])):
         host = Host(20)
         host.teach(0)
-        host.fe.view = lambda now, view=view: view
-        host.fe.out, host.fe.limit = 9, 9.0
+        host.fe.requests_per_executor = lambda now, view=view: view
+        host.fe.attempts_in_flight, host.fe.limit = 9, 9.0
         host.take(work=100.0)
         assert verbs(host.pull()) == expected, view
 
@@ -397,7 +399,7 @@
         t = host.take(0, work=work)
         host.pull(took)
         host.end(t, Outcome.SUCCEEDED, executor=0, took=took)
-    mean_ms = e.pace * host.fe.mean_size
+    mean_ms = e.service_time_factor * host.fe.mean_cost_ms
     assert 100.0 < mean_ms < 300.0, mean_ms
     assert e.limit >= 12.0, e.limit
 
@@ -407,10 +409,10 @@
     found = []
     for f in functions:
         t = host.take(f)
-        sent = [d for d in host.pull() if d.verb is Verb.SEND and d.request == t]
+        sent = [d for d in host.pull() if d.kind is ActionKind.SEND and d.request == t]
         for d in sent:
             host.end(t, Outcome.MISS, executor=d.executor, took=2.0, warmth=Warmth.UNTOLD)
-    found += [d for d in host.pull() if d.verb is Verb.PREFETCH]
+    found += [d for d in host.pull() if d.kind is ActionKind.PREFETCH]
     return found
 
 
@@ -429,26 +431,28 @@
         host.now += 100.0
         host.fe.load_request_answered(host.now, e, f, Outcome.SUCCEEDED, 1, 500.0)
         lost(host, range(20 + 3 * turn, 23 + 3 * turn))
-    most = host.fe.loads
-    assert most > 3.0 and len(host.fe.under_way) <= most + 1
+    most = host.fe.prefetch_limit
+    assert most > 3.0 and len(host.fe.prefetches) <= most + 1
     e, f = load_requests_of(host)[0]
-    host.fe.functions[f].usual_load_ms = 0.0
+    host.fe.functions[f].baseline_load_ms = 0.0
     host.fe.load_request_answered(
         host.now, e, f, Outcome.SUCCEEDED, 1, 3.0
     )  # a copy stood: no measure of a load
-    assert host.fe.loads == most and not host.fe.functions[f].usual_load_ms
+    assert host.fe.prefetch_limit == most and not host.fe.functions[f].baseline_load_ms
     for outcome, took in ((Outcome.SUCCEEDED, 2000.0), (Outcome.ERROR, 10.0)):
-        before = host.fe.loads
+        before = host.fe.prefetch_limit
         host.now += 5000.0
         e, f = load_requests_of(host)[0]
         host.fe.load_request_answered(host.now, e, f, outcome, 1, took)
-        assert host.fe.loads < before
+        assert host.fe.prefetch_limit < before
     for _ in range(9):
         host.now += 5000.0
         host.fe.load_request_answered(host.now, 0, 0, Outcome.ERROR, 0, 10.0)
-    assert host.fe.loads == 1.0  # one at a time at the least
+    assert host.fe.prefetch_limit == 1.0  # one at a time at the least
     host.pull(70_000.0)
-    assert not host.fe.wanted and not host.fe.under_way  # what nobody asks for is not wanted for ever
+    assert (
+        not host.fe.prefetch_wanted and not host.fe.prefetches
+    )  # not wanted for ever
 
 
 def test_the_most_asked_for_is_loaded_first():
@@ -458,12 +462,12 @@
     for _ in range(5):
         host.take(7)
     for d in host.pull():
-        if d.verb is Verb.SEND:
+        if d.kind is ActionKind.SEND:
             host.end(d.request, Outcome.MISS, executor=d.executor, took=2.0, warmth=Warmth.UNTOLD)
     assert host.pull() == []
     e, f = load_requests_of(host)[0]
     host.fe.load_request_answered(host.now, e, f, Outcome.SUCCEEDED, 1, 500.0)
-    assert [d.function for d in host.pull() if d.verb is Verb.PREFETCH] == [7]
+    assert [d.function for d in host.pull() if d.kind is ActionKind.PREFETCH] == [7]
 
 
 def test_a_hung_load_does_not_stop_the_others():
@@ -475,7 +479,7 @@
     lost(host, [8])
     assert len(load_requests_of(host)) > len(before)
     host.pull(20_000.0)  # nor are they kept for ever, should no answer ever come
-    assert not host.fe.under_way
+    assert not host.fe.prefetches
 
 
 def test_one_that_fails_a_request_class_fast_gets_no_more_of_it():
@@ -490,7 +494,7 @@
         for _ in range(3):
             host.only(0)
             t = host.take(function)
-            assert [d.executor for d in host.pull() if d.verb is Verb.SEND] == [0]
+            assert [d.executor for d in host.pull() if d.kind is ActionKind.SEND] == [0]
             host.end(t, Outcome.ERROR, took=2.0, finished=True)
             host.pull()
         host.only(None)
@@ -502,11 +506,11 @@
     assert host.fe.choose(t, host.now).endpoint.executor == 1
     host.fe.executors[1].limit = 0.0  # nobody else has room: still not there
     assert host.fe.choose(t, host.now) is None
-    t.kind = 1  # another request class may
+    t.class_index = 1  # another request class may
     assert host.fe.choose(t, host.now) is e
     host.now += 4000.0  # and in time it is tried again
     t = host.fe.requests[host.take()]
     assert host.fe.choose(t, host.now) is e
     # what nobody ever served fails anywhere: bad clients must not shut executors off
     host = failing(False)
-    assert not host.fe.executors[0].errors
+    assert not host.fe.executors[0].error_rates
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -5,7 +5,8 @@
 import pytest
 
 from petrelway.invariants.checker import figures, judge
-from petrelway.routing.router import FrontEnd, Gate
+from petrelway.routing.router import FrontEnd
+from petrelway.routing.rules import Gate
 from petrelway.routing.types import Stage
 from petrelway.scenarios.inmemory import MemoryDay
 from petrelway.settings.days import EMULATED_ONLY, KINDS
@@ -145,44 +146,44 @@
 class Silent(FrontEnd):
     """Rule 1: gives no answer of its own."""
 
-    def _give_up(self, t):
+    def _give_up(self, request):
         return None
 
 
 class AnyRepeat(Gate):
     """Rule 2: all may be sent again, anywhere, and rejected."""
 
-    def _repeat(self, t, at, now):
+    def allows_replay(self, request, endpoint, now):
         return True
 
-    def reject(self, t):
+    def allows_reject(self, request):
         return True
 
 
 class AnyStage(Gate):
     """Rule 3: a draining executor is as good as any."""
 
-    def send(self, t, e, listed, now):
-        endpoint = e.endpoint
-        e.endpoint = endpoint._replace(stage=Stage.READY)
+    def allows_send(self, request, executor, listed, now):
+        endpoint = executor.endpoint
+        executor.endpoint = endpoint._replace(stage=Stage.READY)
         try:
-            return super().send(t, e, listed, now)
+            return super().allows_send(request, executor, listed, now)
         finally:
-            e.endpoint = endpoint
+            executor.endpoint = endpoint
 
 
-class NoCold(Gate):
-    """Rule 4: cold executors are as good as warm ones."""
+class NoSlowStart(Gate):
+    """Rule 4: new executors are as good as warm ones."""
 
-    def is_cold(self, e, now):
+    def is_warming_up(self, executor, now):
         return False
 
 
-class NoRation(Gate):
-    """Rule 5: orders without end."""
+class NoLoadQuota(Gate):
+    """Rule 5: load requests without end."""
 
-    def order(self, e, now):
-        return e.endpoint.stage is Stage.READY
+    def allows_load_request(self, executor, now):
+        return executor.endpoint.stage is Stage.READY
 
 
 def with_gate(gate):
@@ -197,7 +198,7 @@
             if gate is AnyStage:
                 for e in some:
                     self.fleet.list(e, e.endpoint.stage is not Stage.GONE)
-            if gate is NoCold:  # and only the youngest
+            if gate is NoSlowStart:  # and only the youngest
                 youngest = max(some, key=lambda e: (e.endpoint.stage is Stage.READY, e.endpoint.started_ms))
                 for e in some:
                     self.fleet.list(e, e is youngest)
@@ -209,10 +210,10 @@
     (1, Silent, day(["hang"], seed=2, fleet={"error_rate": 0.0})),
     (2, with_gate(AnyRepeat), day(["hang", "fast_errors"], seed=2)),
     (3, with_gate(AnyStage), day(["deploy"], seed=2, rules={"drain_grace_ms": 500})),
-    (4, with_gate(NoCold), day(["deploy"], seed=2, rate=250, length=12, cold={"multiple": 2})),
+    (4, with_gate(NoSlowStart), day(["deploy"], seed=2, rate=250, length=12, cold={"multiple": 2})),
     (
         5,
-        with_gate(NoRation),
+        with_gate(NoLoadQuota),
         day(
             ["flush"],
             seed=2,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -384,7 +384,7 @@
         partners, "moves", lambda s, was=partners.moves: [*was(s), *silent(s)]
     ),
     "no end of what was told": lambda patch: patch.setattr(
-        parts_module, "Part", lambda share, until, was=parts_module.Part: was(share, EVER)
+        parts_module, "QuotaShare", lambda share, until, was=parts_module.QuotaShare: was(share, EVER)
     ),
 }
 
--- a/tests/test_forward_clock.py
+++ b/tests/test_forward_clock.py
@@ -6,7 +6,7 @@
 from helpers import Host, verbs
 from test_host import Rig
 
-from petrelway.routing.types import Idempotency, Outcome, Part, Verb, Warmth
+from petrelway.routing.types import ActionKind, Idempotency, Outcome, QuotaShare, Warmth
 
 STEPS_MS = (-3_600_000.0, -5_000.0, -1.0, 5_000.0, 3_600_000.0)
 TTL_MS = 1000.0
@@ -21,7 +21,7 @@
 
     def step(self, by_ms):
         self.now += by_ms
-        if self.fe.wake_ms < float("inf"):
+        if self.fe.next_wake_ms < float("inf"):
             self.fe.time_passed(self.now)  # a host looks again when its clock was stepped
 
     def forward(self, ms):
@@ -42,16 +42,16 @@
             due[host.take(draw.randrange(5), remaining=TTL_MS)] = host.real_ms + TTL_MS
         host.forward(draw.choice((0.0, 2.0, 10.0)))
         for decision in decided(host):
-            if decision.verb is Verb.SEND:
+            if decision.kind is ActionKind.SEND:
                 request = host.fe.requests[decision.request]
-                out.append((decision.request, request.sent - 1, decision.executor))
-            elif decision.verb in (Verb.REJECT, Verb.FAIL):
+                out.append((decision.request, request.attempts_sent - 1, decision.executor))
+            elif decision.kind in (ActionKind.REJECT, ActionKind.FAIL):
                 answered.setdefault(decision.request, host.real_ms)
-            elif decision.verb is Verb.CANCEL:
+            elif decision.kind is ActionKind.CANCEL:
                 ended = next(o for o in out if o[:2] == (decision.request, decision.number))
                 out.remove(ended)
                 host.end(*ended[:1], Outcome.CANCELLED, *ended[1:])
-            elif decision.verb is Verb.PREFETCH:
+            elif decision.kind is ActionKind.PREFETCH:
                 host.fe.load_request_answered(
                     host.now, decision.executor, decision.function, Outcome.SUCCEEDED, 1, 100.0
                 )
@@ -69,7 +69,7 @@
 def decided(host):
     found = []
     while (decision := host.fe.decide(host.now)) is not None:
-        if decision.verb is not Verb.WAKE:
+        if decision.kind is not ActionKind.WAKE:
             found.append(decision)
         else:
             assert decision.ms > host.now - 1.0  # in the host's own time, not in that of the decisions
@@ -89,7 +89,7 @@
 
 def test_a_part_of_the_rations_is_not_kept_for_longer_by_a_step_back():
     host = Host(2, peers=4)
-    host.fe.part_told(host.now, Part(0.5, host.now + 5_000.0))
+    host.fe.quota_share_changed(host.now, QuotaShare(0.5, host.now + 5_000.0))
     host.pull(4_500.0)
     host.now -= 3_600_000.0
     host.pull(500.0)
@@ -104,7 +104,7 @@
     turn = host.now
     host.now += 3.0
     host.end(request, Outcome.RESET, executor=0)
-    assert host.fe.decide(turn).verb is Verb.SEND
+    assert host.fe.decide(turn).kind is ActionKind.SEND
     assert host.fe.clock.enter(host.now) == host.now
 
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -9,14 +9,14 @@
 from petrelway.routing.router import FrontEnd
 from petrelway.routing.types import (
     Capabilities,
-    ColdRule,
+    FleetPosition,
     Idempotency,
-    Keeping,
-    LoadRation,
+    LoadingSettings,
+    LoadQuotaRule,
     Outcome,
-    Place,
     RequestClass,
     Scope,
+    SlowStartRule,
     Tenant,
 )
 from petrelway.wire import codec
@@ -39,13 +39,13 @@
         module = kind(
             self.clock.seconds() * 1e3,
             3,
-            Place(0, 1, 0),
+            FleetPosition(0, 1, 0),
             [RequestClass(idempotency, Scope.ALL, 4000.0, 1000.0, 3000.0, 1.0, 0.1)],
             [Tenant(1.0, 50.0)],
             Capabilities(sends, True, True, False, False, 500.0),
-            Keeping(misses, True, 8000.0, 5000.0, 0.0),
-            ColdRule(4.0, 1500.0, 0.2, 10000.0),
-            LoadRation(*ration),
+            LoadingSettings(misses, True, 8000.0, 5000.0, 0.0),
+            SlowStartRule(4.0, 1500.0, 0.2, 10000.0),
+            LoadQuotaRule(*ration),
         )
         self.host = Host(
             self.clock,
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -12,19 +12,19 @@
 
 from petrelway.routing.router import FrontEnd
 from petrelway.routing.types import (
+    ActionKind,
     Capabilities,
-    ColdRule,
     Endpoint,
+    FleetPosition,
     Idempotency,
-    Keeping,
-    LoadRation,
+    LoadingSettings,
+    LoadQuotaRule,
     Outcome,
-    Place,
     RequestClass,
     Scope,
+    SlowStartRule,
     Stage,
     Tenant,
-    Verb,
     Warmth,
 )
 
@@ -72,13 +72,13 @@
         fe = FrontEnd(
             now,
             self.made,
-            Place(number, self.front_ends, 0),
+            FleetPosition(number, self.front_ends, 0),
             [RequestClass(Idempotency.IDEMPOTENT, Scope.ALL, 4000.0, 1000.0, 4000.0, 1.0, 0.1)],
             [told],
             Capabilities(3, True, True, False, False, 500.0),
-            Keeping(False, True, 8000.0, 10_000.0, 0.0),
-            ColdRule(self.multiple, SPAN_MS, START_SHARE, WARM_MS),
-            LoadRation(0.0, 0.0, 0.0),
+            LoadingSettings(False, True, 8000.0, 10_000.0, 0.0),
+            SlowStartRule(self.multiple, SPAN_MS, START_SHARE, WARM_MS),
+            LoadQuotaRule(0.0, 0.0, 0.0),
         )
         fe.known, fe.asked_by = set(), 0
         self.list(fe, now, now > WARM_UP_MS)
@@ -117,13 +117,15 @@
     def pull(self, i):
         fe = self.fronts[i]
         while (d := fe.decide(self.now)) is not None:
-            if d.verb is Verb.WAKE:
+            if d.kind is ActionKind.WAKE:
                 self.after(max(0.0, d.ms - self.now), self.wake, i, fe)
-            elif d.verb is Verb.SEND:
+            elif d.kind is ActionKind.SEND:
                 if d.executor in self.at:
                     self.at[d.executor].append(self.now)
                 t = fe.requests[d.request]
-                self.after(self.random_source.uniform(40.0, 160.0), self.end, i, fe, d.request, t.sent - 1)
+                self.after(
+                    self.random_source.uniform(40.0, 160.0), self.end, i, fe, d.request, t.attempts_sent - 1
+                )
         fe.released()
 
     def wake(self, i, fe):
--- a/tests/test_ranking_front_end.py
+++ b/tests/test_ranking_front_end.py
@@ -9,7 +9,7 @@
 from test_ranking import model
 
 from petrelway.routing.ranking import WINDOW
-from petrelway.routing.types import Endpoint, Idempotency, Outcome, Scope, Stage, Verb, Warmth
+from petrelway.routing.types import ActionKind, Endpoint, Idempotency, Outcome, Scope, Stage, Warmth
 
 EXECUTORS = 3 * WINDOW
 ZONES = 3
@@ -96,19 +96,19 @@
         while True:
             while (d := self.host.fe.decide(self.host.now)) is not None:
                 self.note(d)
-            if self.host.fe.wake_ms > until:
+            if self.host.fe.next_wake_ms > until:
                 self.host.now = until
                 return
-            self.host.now = max(self.host.now, self.host.fe.wake_ms)
+            self.host.now = max(self.host.now, self.host.fe.next_wake_ms)
             self.host.fe.time_passed(self.host.now)
 
     def note(self, d):
-        if d.verb is Verb.SEND:
+        if d.kind is ActionKind.SEND:
             assert self.host.fe.executors[d.executor].endpoint.stage is Stage.READY
             assert self.finals[d.request] == 0
             self.out.append((d.request, self.numbers[d.request], d.executor))
             self.numbers[d.request] += 1
-        elif d.verb in (Verb.REJECT, Verb.FAIL):
+        elif d.kind in (ActionKind.REJECT, ActionKind.FAIL):
             self.finals[d.request] += 1
 
     def end_some(self, most, silent=frozenset()):
@@ -204,14 +204,14 @@
     held = model_homes = 0
     for function in range(40):
         host.take(function)
-        sends = [d for d in host.pull() if d.verb is Verb.SEND]
+        sends = [d for d in host.pull() if d.kind is ActionKind.SEND]
         assert len(sends) == 1
         model_homes += sends[0].executor == first_homes(host, [host.fe.functions[function]])[0]
         number, gone = 0, registry.stages[sends[0].executor] is Stage.GONE
         held += gone
         while registry.stages[sends[-1].executor] is Stage.GONE:
             host.end(host.serial, Outcome.UNREACHABLE, number, sends[-1].executor)
-            again = [d for d in host.pull(50.0) if d.verb is Verb.SEND]
+            again = [d for d in host.pull(50.0) if d.kind is ActionKind.SEND]
             assert len(again) == 1 and again[0] not in sends  # it goes on in its order
             sends += again
             number += 1
@@ -223,7 +223,7 @@
     for function in range(40, 80):
         host.take(function)
         for d in host.pull():
-            if d.verb is Verb.SEND:
+            if d.kind is ActionKind.SEND:
                 assert registry.stages[d.executor] is Stage.READY
 
 
@@ -233,7 +233,7 @@
     host.take()
     assert verbs(host.pull(100.0)) == []  # held
     registry.tell(host)
-    sends = [d for d in host.pull() if d.verb is Verb.SEND]
+    sends = [d for d in host.pull() if d.kind is ActionKind.SEND]
     assert [d.executor for d in sends] == first_homes(host, [host.fe.functions[0]])
 
 
@@ -276,15 +276,15 @@
     load_requested = taken = 0
     for round_ in range(40):
         for number, host in enumerate(hosts):
-            host.fe.loads = 100.0  # the ration alone limits
+            host.fe.prefetch_limit = 100.0  # the ration alone limits
             function = number * 1000 + round_
             request = host.take(function)
             taken += 1
             for d in host.pull():
-                if d.verb is Verb.SEND:
+                if d.kind is ActionKind.SEND:
                     assert host.fe.executors[d.executor].endpoint.stage is Stage.READY
                     host.end(request, Outcome.MISS, executor=d.executor)
-            load_requested += sum(d.verb is Verb.PREFETCH for d in host.pull(20.0))
+            load_requested += sum(d.kind is ActionKind.PREFETCH for d in host.pull(20.0))
         if round_ == 20:
             for host in hosts:
                 registry.tell(host)
@@ -423,12 +423,12 @@
     f = name_functions(host, 1)[0]
     order = list(f.order.all(host.fe.fleet.ring))
     for e in order[: WINDOW + 3]:
-        e.weigh(int(e.limit))
+        e.adjust_load(int(e.limit))
     host.take(0)
-    sends = [d.executor for d in host.pull() if d.verb is Verb.SEND]
+    sends = [d.executor for d in host.pull() if d.kind is ActionKind.SEND]
     assert sends == [order[WINDOW + 3].endpoint.executor]
     for e in order:
-        e.weigh(int(e.limit) - e.busy)
+        e.adjust_load(int(e.limit) - e.busy)
     host.take(0)
     assert verbs(host.pull()) == []  # nothing fits anywhere: it waits
 
@@ -441,7 +441,7 @@
         host.now += 200.0
         host.take(0 if step % 10 else step)
     f = host.fe.functions[0]
-    assert WINDOW < host.fe.homes(f, host.now) <= 3 * EXECUTORS
+    assert WINDOW < host.fe.preferred_count(f, host.now) <= 3 * EXECUTORS
     chosen = {host.fe.choose(host.fe.requests[host.take(0)], host.now).endpoint.executor for _ in range(800)}
     assert len(chosen) > WINDOW
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,8 +2,8 @@
 
 from helpers import START, Host, verbs
 
-from petrelway.routing.router import HOLD_SHARE, LOOK_AGAIN_MS
-from petrelway.routing.types import Idempotency, Outcome, Part, Scope, Stage, Verb
+from petrelway.routing.router import LOOK_AGAIN_MS, QUEUE_SHARE
+from petrelway.routing.types import ActionKind, Idempotency, Outcome, QuotaShare, Scope, Stage
 
 H, S, ONE = Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT
 ALL, ZONE, CELL = Scope.ALL, Scope.ZONE, Scope.CELL
@@ -91,13 +91,13 @@
             stages = {1: Stage.READY} | ({0: stage} if stage else {})
             host.lists(stages, complete)
             if misses:  # an order that was wanted before the drain is not given after it
-                host.fe.wanted[0] = host.fe.executors[0]
+                host.fe.prefetch_wanted[0] = host.fe.executors[0]
             for _ in range(5):
                 host.take()
             found = host.pull(400.0)
-            assert found and all(d.executor == 1 for d in found if d.verb in (Verb.SEND, Verb.PREFETCH)), (
-                stage
-            )
+            assert found and all(
+                d.executor == 1 for d in found if d.kind in (ActionKind.SEND, ActionKind.PREFETCH)
+            ), stage
 
 
 def test_cold_executor_not_pushed_over():
@@ -107,7 +107,7 @@
         host = Host(2, started={0: 100_000.0 - age, 1: 100_000.0 - age})
         for function in range(300):
             host.take(function)
-        sends = [d for d in host.pull() if d.verb is Verb.SEND]
+        sends = [d for d in host.pull() if d.kind is ActionKind.SEND]
         for e in (0, 1):
             assert sum(d.executor == e for d in sends) <= 0.6 * 4.0 * share * usual * 1500.0 + 1
         assert sends
@@ -117,13 +117,13 @@
     # free, share, orders expected of 12 functions that all miss
     for free, share, expected in ((2.0, 0.0, 2), (0.0, 0.5, 6), (4.0, 0.25, 7)):
         host = Host(12, misses=True, ration=(10000.0, free, share))
-        host.fe.loads = 100.0  # the ration alone limits
+        host.fe.prefetch_limit = 100.0  # the ration alone limits
         found, load_requested = [], 0
         for function in range(12):
             found.append((host.take(function), host.pull()))
         for t, decisions in found:
             host.end(t, Outcome.MISS, executor=decisions[0].executor)
-        load_requested = sum(d.verb is Verb.PREFETCH for d in host.pull(300.0))
+        load_requested = sum(d.kind is ActionKind.PREFETCH for d in host.pull(300.0))
         assert load_requested == expected, (free, share, load_requested)
 
 
@@ -133,7 +133,7 @@
     for seed in range(200):
         host = Host(2, started={0: 100_000.0, 1: 100_000.0}, peers=200, seed=seed)
         host.take()
-        sends += sum(d.verb is Verb.SEND for d in host.pull(100.0))
+        sends += sum(d.kind is ActionKind.SEND for d in host.pull(100.0))
     fleet = 2 * 0.5 * 600.0 / 1000.0 / 2 * 1500.0  # of both, in one span, by the told rates
     assert 0 < sends <= 4.0 * 0.2 * fleet and sends < 100
 
@@ -147,7 +147,7 @@
     sent = host.pull(1500.0)
     assert verbs(sent) == ["SEND", "SEND"]
     host.end(t, Outcome.MISS, executor=sent[0].executor)
-    host.fe.seconds = 0.0
+    host.fe.hedge_budget = 0.0
     host.pull(2600.0)  # past the window of the first, within that of the second
     host.end(t, ERROR, number=1, executor=sent[1].executor)
     assert verbs(host.pull(50.0)) == ["FAIL"]
@@ -158,7 +158,7 @@
     table = [
         ({}, Stage.READY, True, True),
         ({"answered": True}, Stage.READY, True, False),
-        ({"sent": 5}, Stage.READY, True, False),
+        ({"attempts_sent": 5}, Stage.READY, True, False),
         ({"answer_deadline_ms": 0.0}, Stage.READY, True, False),
         ({}, Stage.READY, False, False),  # one out, and no second copies
         ({}, Stage.DRAINING, True, False),
@@ -172,7 +172,7 @@
             setattr(t, name, value)
         e = host.fe.executors[1 - first]
         e.endpoint = e.endpoint._replace(stage=stage)
-        assert host.fe.gate.send(t, e, 2, host.now) == expected, (changes, stage, seconds)
+        assert host.fe.gate.allows_send(t, e, 2, host.now) == expected, (changes, stage, seconds)
 
 
 def test_what_is_given_up_is_answered_at_once():
@@ -199,7 +199,7 @@
             host.now += 70.0
             host.end(t, outcome, number=number, executor=sent.executor)
         (answer,) = host.pull()  # the clock stands still
-        assert answer.verb.name == expected, (idempotency, ends, answer)
+        assert answer.kind.name == expected, (idempotency, ends, answer)
         assert answer.ms == (min(500.0, host.fe.mean_ms) if expected == "REJECT" else 0.0), answer
         assert host.pull(4000.0) == []  # and nothing follows up to the outer limit
 
@@ -208,19 +208,19 @@
     """A wait for a place ends at a share of the quoted time (1 s), far from the outer limit (4 s)."""
     # size, a client's repeat, when the answer comes at the latest
     for size, repeat, latest in (
-        (100.0, False, HOLD_SHARE * 1000.0 + LOOK_AGAIN_MS),
+        (100.0, False, QUEUE_SHARE * 1000.0 + LOOK_AGAIN_MS),
         (100.0, True, 0.0),
         (2000.0, False, 0.0),
     ):
         host = Host(2)
         host.teach(0)
-        host.fe.kind_pace = {0: 1.0}
+        host.fe.service_time_baselines = {0: 1.0}
         for e in host.fe.ready:
-            e.weigh(1, 0.5)
+            e.adjust_load(1, 0.5)
         began = host.now
         host.fe.request_taken(began, 99, 0, 0, 0, 4000.0, size, repeat)
         found = host.pull(latest)
-        assert [(d.verb, d.request) for d in found] == [(Verb.REJECT, 99)], (size, repeat, found)
+        assert [(d.kind, d.request) for d in found] == [(ActionKind.REJECT, 99)], (size, repeat, found)
         assert found[0].ms == min(500.0, host.fe.mean_ms)
         assert host.pull(4000.0) == []
 
@@ -238,8 +238,8 @@
                 host.take()
                 (sent,) = host.pull()  # it waits for the load there, and this executor takes no more
                 for e in host.fe.ready:
-                    e.weigh(1, 0.5)
-                host.fe.seconds = 0.0
+                    e.adjust_load(1, 0.5)
+                host.fe.hedge_budget = 0.0
             began, t = host.now, host.take(remaining=remaining)
             assert host.pull(expected - LOOK_AGAIN_MS - 1.0) == [], (stay, remaining)
             found = [d for d in host.pull(LOOK_AGAIN_MS + 1.0) if d.request == t]
@@ -258,7 +258,7 @@
     for told, now, share in table:
         host = Host(2, peers=4)
         if told is not None:
-            host.fe.part_told(host.now, Part(told[0], host.now + told[1]))
+            host.fe.quota_share_changed(host.now, QuotaShare(told[0], host.now + told[1]))
         assert host.fe.gate.share(host.now + now) == share, (told, now)
 
 
@@ -266,7 +266,7 @@
     """How many requests a cold executor gets in a span from a front end that has no history."""
     host = Host(1, rate=50.0, peers=10, started={0: START})
     if share is not None:
-        host.fe.part_told(START, Part(share, 1e9))
+        host.fe.quota_share_changed(START, QuotaShare(share, 1e9))
     for _ in range(60):
         host.take()
     return verbs(host.pull()).count("SEND")
@@ -281,7 +281,7 @@
     """A host of two executors with one attempt decided that waits for its connection: request, where."""
     host = Host(2, **more)
     t = host.take()
-    (sent,) = [d for d in host.pull() if d.verb is Verb.SEND]
+    (sent,) = [d for d in host.pull() if d.kind is ActionKind.SEND]
     return host, t, sent.executor
 
 
@@ -289,27 +289,31 @@
     """Danger: decided, it stood up to a second in a queue, and the rules were asked before that alone."""
     host, t, _ = waiting()
     host.now += 300.0
-    assert host.fe.may_go(host.now, t, 0) and host.fe.may_go(host.now, t, 0)  # nothing has changed
-    assert not host.fe.may_go(host.now, t, 1) and not host.fe.may_go(host.now, t + 1, 0)
+    assert host.fe.may_still_send(host.now, t, 0) and host.fe.may_still_send(
+        host.now, t, 0
+    )  # nothing has changed
+    assert not host.fe.may_still_send(host.now, t, 1) and not host.fe.may_still_send(host.now, t + 1, 0)
     host.now += 4000.0  # rule 1: its time is over
-    assert not host.fe.may_go(host.now, t, 0)
+    assert not host.fe.may_still_send(host.now, t, 0)
 
     host, t, _ = waiting()  # rule 1: nobody waits
     host.fe.client_gone(host.now, t)
-    assert not host.fe.may_go(host.now, t, 0)
+    assert not host.fe.may_still_send(host.now, t, 0)
 
     host, t, executor = waiting()  # rule 3
     host.only(1 - executor)
-    assert not host.fe.may_go(host.now, t, 0)
-    assert len(host.fe.requests[t].out) == host.fe.requests[t].sent == 1  # asking changes nothing
+    assert not host.fe.may_still_send(host.now, t, 0)
+    assert (
+        len(host.fe.requests[t].in_flight) == host.fe.requests[t].attempts_sent == 1
+    )  # asking changes nothing
 
     for late_ms, may in ((3800.0, True), (3990.0, False)):  # rule 2: the window of 4,000 ms
         host, t, executor = waiting(idempotency=Idempotency.KEYED, sends=5)
         host.end(t, Outcome.RESET, executor=executor)
-        (again,) = [d for d in host.pull() if d.verb is Verb.SEND]
+        (again,) = [d for d in host.pull() if d.kind is ActionKind.SEND]
         host.fe.requests[t].answer_deadline_ms += 9000.0  # a client that waits longer than the window
         host.now += late_ms
-        assert again.executor != executor and host.fe.may_go(host.now, t, 1) is may, late_ms
+        assert again.executor != executor and host.fe.may_still_send(host.now, t, 1) is may, late_ms
 
 
 def test_what_waited_for_a_cold_executor_counts_when_it_goes():
@@ -318,12 +322,12 @@
     sent = []
     while host.now < START + 4000.0:
         host.take(remaining=9000.0)
-        sent += [d.request for d in host.pull(10.0) if d.verb is Verb.SEND]
+        sent += [d.request for d in host.pull(10.0) if d.kind is ActionKind.SEND]
     e = host.fe.executors[0]
-    decided = list(e.cold_sends)
+    decided = list(e.slow_start_sends)
     assert len(decided) > 10 and max(decided) - min(decided) > 2 * 1500.0
-    went = [t for t in sent if host.fe.may_go(host.now, t, 0)]  # all connections come up now
-    span = [at for at in e.cold_sends if at > host.now - 1500.0]
+    went = [t for t in sent if host.fe.may_still_send(host.now, t, 0)]  # all connections come up now
+    span = [at for at in e.slow_start_sends if at > host.now - 1500.0]
     assert 1 <= len(went) < len(sent) and len(span) <= 2 + sum(at > host.now - 1500.0 for at in decided)
 
 
@@ -335,13 +339,13 @@
         sent = []
         while not sent and host.now < START + 9000.0:
             host.take(remaining=9000.0)
-            sent = [d.request for d in host.pull(50.0) if d.verb is Verb.SEND]
+            sent = [d.request for d in host.pull(50.0) if d.kind is ActionKind.SEND]
         if sent:
             e = host.fe.executors[0]
-            while len(e.cold_sends) > 1:  # but for its own place
-                e.cold_sends.popleft()
-            assert host.fe.may_go(host.now + 100.0, sent[0], 0)
-            assert list(e.cold_sends) == [host.now + 100.0]
+            while len(e.slow_start_sends) > 1:  # but for its own place
+                e.slow_start_sends.popleft()
+            assert host.fe.may_still_send(host.now + 100.0, sent[0], 0)
+            assert list(e.slow_start_sends) == [host.now + 100.0]
             went += 1
     assert went > 5
 
@@ -356,13 +360,13 @@
         t = host.take(i % 5)
         host.now += 0.25
         host.fe.client_gone(host.now, t)
-        assert not gate.order(e, host.now) and not gate.taken
+        assert not gate.allows_load_request(e, host.now) and not gate.taken
     stays, goes = [host.take(i) for i in range(5)], [host.take(i) for i in range(5)]
     for t in goes:
         host.fe.client_gone(host.now, t)
-    assert stays and len(gate.taken) == 5 and gate.order(e, host.now)  # five others earn one
+    assert stays and len(gate.taken) == 5 and gate.allows_load_request(e, host.now)  # five others earn one
     host.now += 10_100.0
     host.fe.client_gone(host.now, host.take())  # those of the last window are forgotten: nothing is taken off
     host.fe.client_gone(host.now, stays[0])
-    gate.forget(host.now)
+    gate.expire_quota(host.now)
     assert not gate.taken
--- a/tests/test_scale_front_end.py
+++ b/tests/test_scale_front_end.py
@@ -15,7 +15,7 @@
 
 from petrelway.capacity.slopes import Slope, read_slopes
 from petrelway.routing.ranking import WINDOW
-from petrelway.routing.types import Outcome, Stage, Verb
+from petrelway.routing.types import ActionKind, Outcome, Stage
 
 SMALL, FACTOR = 400, 8
 LARGE = FACTOR * SMALL
@@ -69,7 +69,7 @@
 
 def call_and_end(host: Host, function: int) -> None:
     request = host.take(function)
-    sent = [d.executor for d in host.pull() if d.verb is Verb.SEND]
+    sent = [d.executor for d in host.pull() if d.kind is ActionKind.SEND]
     assert len(sent) == 1
     host.end(request, Outcome.SUCCEEDED, executor=sent[0], took=1.0)
     host.pull()
@@ -145,13 +145,13 @@
     host = Host(executors=FEW_EXECUTORS)
     for _ in range(calls):
         call_and_end(host, 0)
-    assert len(host.fe.due) > calls  # the deadlines are still to come: this counts something
+    assert len(host.fe.timers) > calls  # the deadlines are still to come: this counts something
     host.pull(QUIET_MS)
     front_end = host.fe
     assert len(front_end.released().requests) == calls
-    assert not front_end.requests and not front_end.attention and not front_end.gate.taken
-    assert not any(executor.out for executor in front_end.executors.values())
-    assert len(front_end.due) == 1  # the tidying
+    assert not front_end.requests and not front_end.ready_queue and not front_end.gate.taken
+    assert not any(executor.in_flight for executor in front_end.executors.values())
+    assert len(front_end.timers) == 1  # the tidying
 
 
 # -- work
