--- a/petrelway/emulator/policy_model.py
+++ b/petrelway/emulator/policy_model.py
@@ -14,10 +14,11 @@
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
-from ..policy.change_coordinator import ProbePort, SendMessage
+from ..policy.change_coordinator import ProbePort
 from ..policy.document import digest
 from ..policy.log_entries import PersistentState
 from ..policy.messages import ChangeProgress, ChangeRequest
+from ..policy.notifications import SendMessage
 from ..policy.policy_holder import PreparedPolicy
 from ..policy.policy_member import PersistState, PolicyMember
 from ..policy.raft_state import RaftRole
--- a/petrelway/emulator/policy_simulation.py
+++ b/petrelway/emulator/policy_simulation.py
@@ -10,10 +10,11 @@
 from ..fakes.fault_schedule import FaultSchedule
 from ..fakes.in_memory_network import Process, World
 from ..policy import state_machine
-from ..policy.change_coordinator import ProbePort, SendMessage
+from ..policy.change_coordinator import ProbePort
 from ..policy.document import digest, stops
 from ..policy.log_entries import PersistentState
 from ..policy.messages import ChangeProgress, ChangeRequest, decode_message, encode_message
+from ..policy.notifications import SendMessage
 from ..policy.policy_holder import PreparedPolicy
 from ..policy.policy_member import PersistState, PolicyMember
 from ..policy.raft_storage import updated_state
--- a/petrelway/policy/__init__.py
+++ b/petrelway/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' terms as versions: kept by a few front ends, adopted by all or by none."""
+"""The operators' policy in versions: replicated by a few voters, adopted by all members or by none."""
--- a/petrelway/policy/change_coordinator.py
+++ b/petrelway/policy/change_coordinator.py
@@ -12,21 +12,22 @@
 from functools import singledispatchmethod
 from typing import Any, NamedTuple
 
+from . import change_requests, notifications
+from .change_requests import MAX_NAMES_LISTED
 from .document import digest, stops
-from .log_entries import ActivationTime, ChangeAbandoned, ChangeDecided, ChangeProposed, VotersChanged
+from .log_entries import ActivationTime, ChangeAbandoned, ChangeDecided
 from .member_record import MAX_CLOCK_DRIFT, MemberRecord, PendingQuery
 from .messages import (
-    NOT_QUERIED_MS,
     ChangeProgress,
     ChangeRequest,
     ClockQuery,
     ClockReading,
     PolicyAcknowledgement,
-    PolicyNotification,
     PolicyQuery,
     PrepareChange,
     PrepareResponse,
 )
+from .notifications import SendMessage
 from .policy_holder import LEASE_MS, MAX_REASON_LENGTH, activation_time_of
 from .raft import RaftNode
 
@@ -39,17 +40,9 @@
 NOTIFICATION_PERIOD_MS = 20_000.0  # what holds is sent for so long to those that do not acknowledge it
 MAX_ACTIVATION_SPREAD_MS = 50.0  # two members may differ by this in when they change over
 LEASE_EXPIRED_AFTER_MS = LEASE_MS * (1.0 + 2.0 * 0.01) + 500.0  # no lease asked for before this is left
-MAX_NAMES_LISTED = 20  # in a reason
 MAX_REFUSALS_LISTED = 10
 
 
-class SendMessage(NamedTuple):
-    """Send a message to a member."""
-
-    to: str
-    message: Any
-
-
 class ProbePort(NamedTuple):
     """Dial the member's port and report whether it was refused."""
 
@@ -60,6 +53,7 @@
     """One term of one leader."""
 
     def __init__(self, now: float, raft: RaftNode, members: list[str], initial_digest: str) -> None:
+        """`members`: all listed; `initial_digest`: of the policy that this process's settings give."""
         self.raft = raft
         self.initial_digest = initial_digest
         self.members = {name: MemberRecord() for name in members}
@@ -140,8 +134,8 @@
 
     def port_probed(self, name: str, began_ms: float, refused: bool) -> None:
         """A refused connection proves that the process is gone, and whoever starts there asks before it
-        serves. An attempt that began before this leader led, or before the member was told that it may serve, proves
-        nothing: `_reason_to_proceed` compares the times."""
+        serves. An attempt that began before this leader led, or before the member was told that it may serve,
+        proves nothing: `reason_to_proceed` compares the times."""
         member = self.members.get(name)
         if member is not None and refused:
             member.gone_ms = max(member.gone_ms, began_ms)
@@ -164,7 +158,7 @@
         self.uncommitted_proposals = {
             id: index for id, index in self.uncommitted_proposals.items() if index > self.raft.commit_index
         }
-        self._answer_queries(now)
+        notifications.answer_queries(self, now)
         self.timer_ms = self._pursue(now)
         if any(member.query for member in self.members.values()):
             self.timer_ms = min(self.timer_ms, now + TICK_INTERVAL_MS)
@@ -175,74 +169,22 @@
             self._advance_change(now)
             return now + TICK_INTERVAL_MS
         if now < self.news_ms + NOTIFICATION_PERIOD_MS:
-            self._notify_members(now)
+            notifications.notify_members(self, now)
             return now + TICK_INTERVAL_MS
         return math.inf
 
     # -- what holds
 
-    def _answer_queries(self, now: float) -> None:
-        """Answer those that asked what holds. A leader that is none any more would give an old answer, so a
-        majority must have heard it since; and a member told to serve while a change is decided without it
-        would serve under the old policy."""
-        for name, member in self.members.items():
-            query = member.query
-            if query is None or not self.raft.is_confirmed(query.round) or self.closing_index:
-                continue
-            if self._activation(name, query.token) is None and now < self._in_force_ms():
-                continue
-            member.query = None
-            member.identify(query.token)
-            member.admitted_ms = now
-            has_document = query.version == self.raft.state.version
-            notification = self._notification(name, member, query.queried_ms, has_document)
-            self.actions.append(SendMessage(name, notification))
-
-    def _in_force_ms(self) -> float:
+    def in_force_ms(self) -> float:
         """From when on the present version is in force everywhere; -inf where nothing was ever decided."""
         return self.in_force_from_ms if self.raft.state.activations else -math.inf
 
-    def _activation(self, name: str, token: int) -> ActivationTime | None:
-        for activation in self.raft.state.activations:
-            if activation.name == name and activation.token == token:
-                return activation
-        return None
-
-    def _notification(
-        self, name: str, member: MemberRecord, queried_ms: float, has_document: bool
-    ) -> PolicyNotification:
-        """What holds. A document that the member has is left out: sent again and again to hundreds, a large
-        one would take all that the leader can send."""
-        state = self.raft.state
-        present = state.present()
-        changed = present is not None and present.number > 0
-        return PolicyNotification(
-            term=self.raft.current_term,
-            token=member.token,
-            state_index=state.applied_index,
-            resolved_index=state.last_resolved_index,
-            version=state.version,
-            digest=present.digest if changed else self.initial_digest,
-            document=present.document if changed and not has_document else "",
-            voters=self.raft.voters(),
-            queried_ms=queried_ms,
-            activation=self._activation(name, member.token),
-        )
+    def is_retry_due(self, now: float, member: MemberRecord) -> bool:
+        """Whether a message that the member has not answered is to be sent again."""
+        return now >= member.notified_ms + RETRY_INTERVAL_MS
 
-    def _notify_members(self, now: float) -> None:
-        """Send what holds to all that have not acknowledged it."""
-        for name, member in self.members.items():
-            if member.state_index >= self.state_index or now < member.notified_ms + RETRY_INTERVAL_MS:
-                continue
-            if not member.token:
-                self._query_clock(name, member, now)
-            elif self._activation(name, member.token) is not None or now >= self._in_force_ms():
-                member.notified_ms = now
-                has_document = member.has_accepted(self.resolved_index)
-                notification = self._notification(name, member, NOT_QUERIED_MS, has_document)
-                self.actions.append(SendMessage(name, notification))
-
-    def _query_clock(self, name: str, member: MemberRecord, now: float) -> None:
+    def query_clock(self, name: str, member: MemberRecord, now: float) -> None:
+        """Ask a member what its clock says."""
         member.notified_ms = now
         self.actions.append(SendMessage(name, self._clock_query(now)))
 
@@ -265,7 +207,7 @@
             if member.has_refused(pending.index) and name not in pending.proposed.without
         ]
         silent = [
-            name for name, member in self.members.items() if not self._reason_to_proceed(now, name, member)
+            name for name, member in self.members.items() if not self.reason_to_proceed(now, name, member)
         ]
         if self.abandon_reason:
             self._abandon(now, self.abandon_reason)
@@ -289,7 +231,7 @@
         if now < member.notified_ms + (PROMISE_MS / 3.0 if accepted else RETRY_INTERVAL_MS):
             return
         if member.sample is None:
-            self._query_clock(name, member, now)
+            self.query_clock(name, member, now)
         else:
             member.notified_ms = now
             self.actions.append(SendMessage(name, self._prepare_message(now, member)))
@@ -316,7 +258,7 @@
             sent_ms=now,
         )
 
-    def _reason_to_proceed(self, now: float, name: str, member: MemberRecord) -> str:
+    def reason_to_proceed(self, now: float, name: str, member: MemberRecord) -> str:
         """Why the change may go on as far as this member goes, or nothing. What is said of it stays true
         until it is told anew that it may serve."""
         if member.has_accepted(self.prepared_index) and member.sample is not None:
@@ -347,7 +289,7 @@
         activations = []
         without = []
         for name, member in self.members.items():
-            reason = self._reason_to_proceed(now, name, member)
+            reason = self.reason_to_proceed(now, name, member)
             if reason == "yes":
                 activations.append(_member_activation(now, name, member, at_ms))
             else:
@@ -363,93 +305,7 @@
 
     def request_change(self, now: float, request: ChangeRequest) -> ChangeProgress:
         """An operator's change; asked again and again until its end is known."""
-        if not self.raft.is_ready():
-            return self._progress(now, request, "under way", "the new leader finds out what holds")
-        if request.abandon:
-            return self._abandon_requested(now, request)
-        if request.voters:
-            return self._change_voters(now, request)
-        state = self.raft.state
-        outcome = state.outcome(request.id)
-        if outcome is not None:
-            if not outcome.version:
-                return self._progress(now, request, "abandoned", outcome.why)
-            if now < self._in_force_ms() and outcome.version == state.version:
-                return self._progress(now, request, "under way", "decided; it takes hold in a moment")
-            return self._progress(now, request, "adopted", "", outcome.version)
-        pending = state.pending
-        proposed_already = pending is not None and pending.proposed.id == request.id
-        if request.id in self.uncommitted_proposals or proposed_already:
-            return self._progress(now, request, "under way", "")
-        return self._propose(now, request)
-
-    def _propose(self, now: float, request: ChangeRequest) -> ChangeProgress:
-        """Propose a new change, if one may begin now. A message that comes late, again, must not make what
-        was refused, so only what stays so is refused; all else waits."""
-        state = self.raft.state
-        if request.base < state.version:
-            why = f"stale: made from version {request.base}, while version {state.version} holds"
-            return self._progress(now, request, "refused", why)
-        if state.pending is not None or self.uncommitted_proposals:
-            return self._progress(now, request, "under way", "waits for another change")
-        if now < self._in_force_ms() or request.base > state.version:
-            return self._progress(now, request, "under way", "waits for the last change to take hold")
-        unknown = [name for name in request.without if name not in self.members]
-        if unknown:
-            why = f"no members: {', '.join(unknown[:MAX_NAMES_LISTED])}"
-            return self._progress(now, request, "refused", why)
-        proposed = ChangeProposed(
-            id=request.id,
-            base=request.base,
-            document=request.document,
-            base_document=request.base_document,
-            by=request.by,
-            at=request.at,
-            without=request.without,
-        )
-        self.uncommitted_proposals[request.id] = self.raft.append(now, proposed)
-        self.timer_ms = now
-        return self._progress(now, request, "under way", "")
-
-    def _abandon_requested(self, now: float, request: ChangeRequest) -> ChangeProgress:
-        if self.raft.state.pending is None or self.closing_index:
-            why = "no change is under way that could still be abandoned"
-            return self._progress(now, request, "refused", why)
-        self.abandon_reason = f"abandoned by {request.by or 'an operator'}"
-        self.timer_ms = now
-        return self._progress(now, request, "adopted", "it is being abandoned")
-
-    def _change_voters(self, now: float, request: ChangeRequest) -> ChangeProgress:
-        """One voter comes or goes at a time: two at once could make two majorities that share nobody."""
-        present = self.raft.voters()
-        if self.raft.is_changing_voters():
-            return self._progress(now, request, "under way", "a change of the keepers is under way")
-        if present == request.voters:
-            return self._progress(now, request, "adopted", "")
-        wanted = set(request.voters)
-        if len(set(present) ^ wanted) != 1 or len(wanted) != len(request.voters):
-            return self._progress(now, request, "refused", "one keeper comes or goes at a time")
-        unknown = [name for name in request.voters if name not in self.members]
-        if unknown:
-            return self._progress(now, request, "refused", f"no members: {', '.join(unknown)}")
-        self.raft.append(now, VotersChanged(names=request.voters))
-        return self._progress(now, request, "under way", "")
-
-    def _progress(
-        self, now: float, request: ChangeRequest, state: str, why: str, version: int | None = None
-    ) -> ChangeProgress:
-        """`version`: that which the change became; else the present one."""
-        rows = []
-        pending = self.raft.state.pending
-        for name, member in self.members.items():
-            if pending is not None and self.prepared_index == pending.index:
-                refusal = f"no: {member.refusal}" if member.has_refused(self.prepared_index) else ""
-                reason = refusal or self._reason_to_proceed(now, name, member)
-                rows.append((name, reason or "no answer yet"))
-            elif member.version >= 0:
-                rows.append((name, f"under version {member.version}"))
-        shown_version = self.raft.state.version if version is None else version
-        return ChangeProgress(id=request.id, state=state, version=shown_version, why=why, rows=tuple(rows))
+        return change_requests.answer(self, now, request)
 
 
 def _member_activation(now: float, name: str, member: MemberRecord, at_ms: float) -> ActivationTime:
--- a/petrelway/policy/connections.py
+++ b/petrelway/policy/connections.py
@@ -70,6 +70,7 @@
         on_payload: Callable[[bytes], None],
         on_dropped: Callable[[str], None],
     ) -> None:
+        """`on_payload` takes each frame's payload, `on_dropped` the reason where one is dropped."""
         self.reactor = reactor
         self.on_payload = on_payload
         self.on_dropped = on_dropped
@@ -115,6 +116,7 @@
     protocol = PeerConnectionProtocol
 
     def __init__(self, reactor, peer: Listed) -> None:
+        """Connect when there is something to send, not before."""
         self.reactor = reactor
         self.peer = peer
         self.waiting: deque[bytes] = deque(maxlen=MAX_WAITING_MESSAGES)
--- a/petrelway/policy/document.py
+++ b/petrelway/policy/document.py
@@ -1,4 +1,7 @@
-"""A policy: the terms that operators change, as one document, without I/O; what differs between two."""
+"""A policy as one document: the sections that operators change, its canonical form, what differs between two.
+
+The command line makes and compares documents, voters keep them, and the gateway reads what holds.
+"""
 
 from __future__ import annotations
 
@@ -13,23 +16,24 @@
 from ..settings.front import SHAPES, CapabilitySettings, Strict, between
 from ..settings.reading import SettingsError, SettingsProblem, evaluate, sections
 
-TERMS = ("tariffs", "customers", "permits", "functions")
+POLICY_SECTIONS = ("tariffs", "customers", "permits", "functions")
 READ_DOCUMENTS_KEPT = 4  # answers kept of `stops`: a process asks about the present document and the next one
 
 
 class Adoption(Strict):
-    """What becomes of a front end of which it can't be told whether it is gone or cut off. *serve on*: it
-    goes on under its terms, and no change is made without it. *stop*: it stops when it has heard nothing
-    for a while, and a change goes on without it after that."""
+    """What becomes of a front end that may be gone or cut off. *serve on*: it goes on under its policy, and
+    no change is made without it. *stop*: it stops when it has heard nothing for a while, and a change goes on
+    without it after that."""
 
     silent: Literal["serve on", "stop"] = "serve on"
 
 
-SECTIONS: dict[str, Any] = {**{name: SHAPES[name] for name in TERMS}, "adoption": Adoption}
+SECTIONS: dict[str, Any] = {**{name: SHAPES[name] for name in POLICY_SECTIONS}, "adoption": Adoption}
 
 
 def digest(document: str) -> str:
-    """
+    """The document's digest, by which members tell whether they have it.
+
     >>> digest("{}") == digest("{}") != digest("{ }"), len(digest("{}"))
     (True, 16)
     """
@@ -50,14 +54,14 @@
 
 
 def canonical(found: Mapping[str, Any]) -> str:
-    """The terms among checked sections, each default written out, in one form.
+    """The policy among checked sections, each default written out, in one form.
 
     >>> canonical({"tariffs": [], "functions": []})
     '{"adoption":{"silent":"serve on"},"customers":[],"functions":[],"permits":{"longest_retry_ms":1000.0,\
 "second_copies":true,"transmissions":3,"withdraw":true},"tariffs":[]}'
     """
-    some = {"customers": [], "permits": CapabilitySettings(), "adoption": Adoption(), **found}
-    tree = {name: msgspec.to_builtins(some[name]) for name in SECTIONS}
+    complete = {"customers": [], "permits": CapabilitySettings(), "adoption": Adoption(), **found}
+    tree = {name: msgspec.to_builtins(complete[name]) for name in SECTIONS}
     return json.dumps(tree, sort_keys=True, separators=(",", ":"))
 
 
@@ -68,8 +72,8 @@
     found.setdefault("customers", [])
     found.setdefault("permits", CapabilitySettings())
     found.setdefault("adoption", Adoption())
-    if faults := between({**settings, **found}):
-        raise SettingsError(file, faults)
+    if problems := between({**settings, **found}):
+        raise SettingsError(file, problems)
     return found
 
 
@@ -100,6 +104,7 @@
     danger: str = ""
 
 
+# What may go wrong where a field becomes less, or more, or other; by its name in the document.
 DECREASE_WARNINGS = {
     "outer_ms": "answers that would have been in time are broken off",
     "quoted_ms": "answers in time become late ones",
@@ -108,8 +113,11 @@
     "transmissions": "fewer further tries",
 }
 INCREASE_WARNINGS = {"rate": "cold executors may be sent more: can they carry it?"}
-CHANGE_WARNINGS = {"effect": "what may run twice changes", "scope": "where a repeat is dropped changes",
-           "window_ms": "how long a repeat is dropped changes"}  # fmt: skip
+CHANGE_WARNINGS = {
+    "effect": "what may run twice changes",
+    "scope": "where a repeat is dropped changes",
+    "window_ms": "how long a repeat is dropped changes",
+}
 
 
 def differences(before: str, after: str) -> list[Difference]:
@@ -121,45 +129,56 @@
     >>> differences(one, '{"tariffs":[]}')[0].danger
     'triggers that name it are refused'
     """
-    one, two = json.loads(before), json.loads(after)
+    tree_before = json.loads(before)
+    tree_after = json.loads(after)
     found: list[Difference] = []
-    for section in sorted({*one, *two}):
-        a, b = one.get(section, {}), two.get(section, {})
-        if isinstance(a, list) or isinstance(b, list):
-            found += _lists(section, a or [], b or [])
+    for section in sorted({*tree_before, *tree_after}):
+        old = tree_before.get(section, {})
+        new = tree_after.get(section, {})
+        if isinstance(old, list) or isinstance(new, list):
+            found += _list_differences(section, old or [], new or [])
         else:
-            found += _fields(section, a, b)
+            found += _field_differences(section, old, new)
     return found
 
 
-def _lists(section: str, one: list[dict], two: list[dict]) -> list[Difference]:
-    a, b = ({each["name"]: each for each in some} for some in (one, two))
+def _list_differences(section: str, before: list[dict], after: list[dict]) -> list[Difference]:
+    old = {item["name"]: item for item in before}
+    new = {item["name"]: item for item in after}
     found = []
-    for name in [*a, *(n for n in b if n not in a)]:
+    for name in [*old, *(name for name in new if name not in old)]:
         where = f"{section}[{name}]"
-        if name not in b:
+        if name not in new:
             found.append(Difference(where, "there", "dropped", "triggers that name it are refused"))
-        elif name not in a:
-            found.append(Difference(where, "nothing", _plain(b[name])))
+        elif name not in old:
+            found.append(Difference(where, "nothing", _plain(new[name])))
         else:
-            found += _fields(where, a[name], b[name])
-    same = [n for n in a if n in b], [n for n in b if n in a]
-    if section == "functions" and same[0] != same[1]:
+            found += _field_differences(where, old[name], new[name])
+    old_order = [name for name in old if name in new]
+    new_order = [name for name in new if name in old]
+    if section == "functions" and old_order != new_order:
         found.append(Difference(section, "one order", "another order", "the first pattern that fits decides"))
     return found
 
 
-def _fields(where: str, a: dict, b: dict) -> list[Difference]:
+def _field_differences(where: str, before: dict, after: dict) -> list[Difference]:
     found = []
-    for key in sorted({*a, *b}):
-        if (old := a.get(key)) == (new := b.get(key)):
-            continue
-        danger = CHANGE_WARNINGS.get(key, "")
-        if isinstance(old, (int, float)) and isinstance(new, (int, float)) and not isinstance(old, bool):
-            danger = danger or (DECREASE_WARNINGS if new < old else INCREASE_WARNINGS).get(key, "")
-        found.append(Difference(f"{where}.{key}", _plain(old), _plain(new), danger))
+    for key in sorted({*before, *after}):
+        old = before.get(key)
+        new = after.get(key)
+        if old != new:
+            found.append(Difference(f"{where}.{key}", _plain(old), _plain(new), _danger(key, old, new)))
     return found
 
 
+def _danger(key: str, old: Any, new: Any) -> str:
+    """What may go wrong by this change of a field, or nothing."""
+    if key in CHANGE_WARNINGS:
+        return CHANGE_WARNINGS[key]
+    if isinstance(old, bool) or not isinstance(old, (int, float)) or not isinstance(new, (int, float)):
+        return ""
+    return (DECREASE_WARNINGS if new < old else INCREASE_WARNINGS).get(key, "")
+
+
 def _plain(value: Any) -> str:
     return json.dumps(value, sort_keys=True)
--- a/petrelway/policy/operator_changes.py
+++ b/petrelway/policy/operator_changes.py
@@ -32,6 +32,7 @@
     """All changes that operators wait for at this member."""
 
     def __init__(self) -> None:
+        """Begin without any."""
         self._changes: dict[str, OperatorChange] = {}
 
     def request(self, now: float, request: ChangeRequest) -> ChangeProgress:
@@ -65,4 +66,6 @@
 
     def wake_times(self) -> list[float]:
         """When requests are to be sent again."""
-        return [c.sent_ms + RETRY_INTERVAL_MS for c in self._changes.values() if c.is_under_way()]
+        return [
+            change.sent_ms + RETRY_INTERVAL_MS for change in self._changes.values() if change.is_under_way()
+        ]
--- a/petrelway/policy/policy_member.py
+++ b/petrelway/policy/policy_member.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from . import state_machine
-from .change_coordinator import ChangeCoordinator, ProbePort, SendMessage
+from .change_coordinator import ChangeCoordinator, ProbePort
 from .log_entries import PersistentState
 from .messages import (
     AppendEntries,
@@ -41,6 +41,7 @@
     RequestVoteResponse,
     label,
 )
+from .notifications import SendMessage
 from .operator_changes import OperatorChanges
 from .policy_holder import PolicyHolder, PrepareDocument, PreparedPolicy, ServingState
 from .raft import RaftNode
--- a/petrelway/policy/raft.py
+++ b/petrelway/policy/raft.py
@@ -2,8 +2,8 @@
 voters at a time (Ongaro 2014); a node that lost its file recovers first (`recovery.py`).
 
 Call it so: report what happens (`receive`, `append`, `begin_confirmation`), then call `next_action(now)`
-until it gives None and carry each action out in its order; what is to be persisted must be on the disk before the
-next one. Times are ms of a clock that never steps back.
+until it gives None and carry each action out in its order; what is to be persisted must be on the disk before
+the next one. Times are ms of a clock that never steps back.
 """
 
 from __future__ import annotations
--- a/tests/test_policy_faults.py
+++ b/tests/test_policy_faults.py
@@ -72,10 +72,10 @@
 
 
 def any_proof(patch):
-    inner = change_coordinator.ChangeCoordinator._reason_to_proceed
+    inner = change_coordinator.ChangeCoordinator.reason_to_proceed
     patch.setattr(
         change_coordinator.ChangeCoordinator,
-        "_reason_to_proceed",
+        "reason_to_proceed",
         lambda self, now, name, member: "gone" if member.gone_ms > -1e18 else inner(self, now, name, member),
     )
 
@@ -85,7 +85,7 @@
 
 
 def notifies_at_once(patch):
-    patch.setattr(change_coordinator.ChangeCoordinator, "_in_force_ms", lambda self: -1e18)
+    patch.setattr(change_coordinator.ChangeCoordinator, "in_force_ms", lambda self: -1e18)
 
 
 def only_timers_change_over(patch):
