--- a/tests/test_policy_process.py
+++ b/tests/test_policy_process.py
@@ -1,5 +1,5 @@
-"""Nine processes of the program, three of them keepers, with faults between them while terms are changed;
-judged from the records: which request was taken under which version, and when. Order, counts and generous
+"""Nine processes of the program, three of them voters, with faults between them while the policy is changed;
+checked from the records: which request was taken under which version, and when. Order, counts and generous
 bounds, never speed."""
 
 import json
@@ -81,7 +81,7 @@
         return all(self.seen(n)["version"] == version for n in range(SIZE) if n not in but)
 
     def leader(self):
-        """The keeper that leads, as it says itself."""
+        """The voter that leads, by its own status."""
         found = []
 
         def leads():
@@ -132,7 +132,7 @@
         return self.ended(self.apply(worth, *words, **more))
 
     def promised(self, *numbers):
-        """Until these have said yes to what is under way."""
+        """Until these have promised the change under way."""
         self.until(lambda: all(self.seen(n)["state"] in ("has promised", "changes over") for n in numbers))
 
     # -- faults
@@ -161,7 +161,7 @@
     # -- the end
 
     def judged(self):
-        """What is broken so far, from all records."""
+        """The violations so far, from all records."""
         rows = self.seen(self.leader())["rows"]
         history = [[r["version"], r["made from"], r["digest"], r["change"]] for r in reversed(rows)]
         took = [x for x in read(self.folder) if x["k"] == "took"]
@@ -188,7 +188,7 @@
 
 @pytest.fixture
 def fleet(shared):
-    """Whole, all under one version; so it is left, and nothing is broken."""
+    """All run under one version; so it is left, and no invariant is violated."""
     yield shared
     shared.clear()
     for number, process in enumerate(shared.fronts):
@@ -230,7 +230,7 @@
     assert found.returncode == 2 and "403" in found.stderr
 
 
-def test_two_operators_one_change_wins_whole_the_other_is_stale(fleet):
+def test_of_two_operators_one_change_is_adopted_the_other_is_stale(fleet):
     version = fleet.version()
     some = [fleet.apply(2.0 + n, by=4 + n, base=version) for n in range(2)]
     ends = [fleet.ended(process) for process in some]
@@ -304,7 +304,7 @@
     fleet.until(lambda: fleet.all_run(holds))
 
 
-def test_one_stopped_before_the_moment_takes_nothing_under_the_old_terms_after_it(fleet):
+def test_a_member_stopped_before_activation_admits_nothing_under_the_old_policy_after_it(fleet):
     """With requests in its socket."""
     version = fleet.version()
     process = fleet.apply(9.0)
@@ -337,7 +337,7 @@
     fleet.until(lambda: fleet.all_run(version + 1))
 
 
-def test_words_that_are_late(fleet):
+def test_messages_that_are_late(fleet):
     version = fleet.version()
     fleet.network_fault("delay", size=250, extra=250)
     assert fleet.change(12.0)["state"] == "adopted"
@@ -354,7 +354,7 @@
     fleet.until(lambda: fleet.all_run(version + 2))
 
 
-def test_all_keepers_killed_stop_nobody_who_serves_on_a_lease(fleet):
+def test_all_voters_killed_stop_nobody_who_serves_on_a_lease(fleet):
     assert fleet.change(13.8, silent="stop")["state"] == "adopted"
     for number in range(3):
         fleet.kill(number)
@@ -367,7 +367,7 @@
     assert fleet.change(13.9)["state"] == "adopted"
 
 
-def test_all_keepers_are_killed_at_once_and_started_again(fleet):
+def test_all_voters_are_killed_at_once_and_started_again(fleet):
     version = fleet.version()
     for number in range(3):
         fleet.kill(number)
@@ -379,7 +379,7 @@
     assert fleet.version() == version and fleet.change(14.0)["state"] == "adopted"
 
 
-def test_a_keeper_whose_file_is_lost_asks_before_it_votes(fleet):
+def test_a_voter_whose_file_is_lost_recovers_before_it_votes(fleet):
     leader = fleet.leader()
     other = next(n for n in range(3) if n != leader)
     fleet.kill(other)
@@ -389,7 +389,7 @@
     assert fleet.change(15.0)["state"] == "adopted"
 
 
-def test_a_keepers_file_that_is_damaged_is_refused_by_name(fleet):
+def test_a_voters_file_that_is_damaged_is_refused_by_name(fleet):
     other = next(n for n in range(3) if n != fleet.leader())
     fleet.kill(other)
     file = fleet.folder / f"front-{other}.terms"
@@ -399,14 +399,14 @@
     refused = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, timeout=30)
     assert refused.returncode == 2 and "front-" in refused.stderr and "aside-1" in refused.stderr
     os.rename(fleet.folder / "kept.copy", file)
-    kept = RaftStorage(file, "rehearsed", f"front-{other}")
-    assert not kept.stored.blank
-    kept.close()
+    storage = RaftStorage(file, "rehearsed", f"front-{other}")
+    assert not storage.stored.blank
+    storage.close()
     fleet.start(other)
     fleet.until(lambda: "follows" in fleet.seen(other)["keeper"])
 
 
-def test_a_row_of_changes_under_load_turns_nobody_away(fleet):
+def test_a_row_of_changes_under_load_rejects_nobody(fleet):
     before = rejects(fleet)
     for n in range(4):
         assert fleet.change(20.0 + n)["state"] == "adopted"
