--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -14,7 +14,7 @@
 from petrelway.membership.messages import Kind, Start, State, Word, digest
 from petrelway.membership.service import FleetService, Listed
 from petrelway.node.service import NodeService
-from petrelway.platform.configuration import read_peers, read_configuration
+from petrelway.platform.configuration import read_configuration, read_peers
 from petrelway.platform.errors import ProtocolError
 
 ME, OTHER, THIRD = (Listed(name, f"10.0.0.{i}", 7946) for i, name in enumerate("abc", 1))
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -147,7 +147,8 @@
         peers=[f"{p.address}:{p.port}" for p in PLAN.peers()],
         peer_listen=f"{me.address}:{me.port}",
     )
-    node = NodeService(reactor, read_configuration(file), lambda: file, Log(), connect=reactor.connectTCP, peers=True)
+    configured = read_configuration(file)
+    node = NodeService(reactor, configured, lambda: file, Log(), connect=reactor.connectTCP, peers=True)
     node.join_peers()
 
 
