--- a/benchmarks/worker.py
+++ b/benchmarks/worker.py
@@ -83,7 +83,7 @@
         self.done += 1
         self.outcomes.append(outcome)
 
-    def stood(self, *_) -> None: ...
+    def load_request_ended(self, *_) -> None: ...
 
     def probed(self, id, load) -> None:
         self.load = load
--- a/petrelway/fakes/executors.py
+++ b/petrelway/fakes/executors.py
@@ -102,7 +102,7 @@
         if self.executor.machine is not None:
             self.executor.machine.unload(function)
 
-    def asked(self, id: int) -> None:
+    def probe_received(self, id: int) -> None:
         e = self.executor
         e.record.note("probe", ex=e.post.name, fe=self.front)
         if e.machine is not None and not e.machine.frozen:
@@ -119,7 +119,7 @@
         )
 
     def say_stood(self, id: int, outcome: int, replicas: int) -> None:
-        self.say(codec.stood(id, outcome, replicas))
+        self.say(codec.load_request_ended(id, outcome, replicas))
 
     def abort(self) -> None:
         self.transport.abortConnection()
--- a/petrelway/gateway/executor_channel.py
+++ b/petrelway/gateway/executor_channel.py
@@ -165,7 +165,7 @@
 
     def order(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
         """An order to load; an outcome if it could not be handed over."""
-        return self._ask(id, Question.LOAD, codec.order(id, function, replicas, memory_mb, lanes))
+        return self._ask(id, Question.LOAD, codec.request_load(id, function, replicas, memory_mb, lanes))
 
     def probe(self, id: int) -> Outcome | None:
         """A probe; an outcome if it could not be handed over."""
@@ -267,7 +267,7 @@
                 self.executor, (serial, number), Outcome(outcome), warmth, crowd, load, content_type, body
             )
 
-    def stood(self, id: int, outcome: int, replicas: int) -> None:
+    def load_request_ended(self, id: int, outcome: int, replicas: int) -> None:
         if self.load_requests.pop(id, None) is Question.LOAD:
             self.listener.load_request_answered(self.executor, id, Outcome(outcome), replicas)
 
--- a/petrelway/wire/codec.py
+++ b/petrelway/wire/codec.py
@@ -41,10 +41,10 @@
         self,
         serial: int,
         number: int,
-        mark: str,
+        idempotency_key: str,
         function: str,
         memory_mb: float,
-        lanes: int,
+        concurrency: int,
         request_class: str,
         tenant: str,
         remaining_ms: float,
@@ -57,13 +57,15 @@
     def cancelled(self, serial: int, number: int) -> None:
         """Take that nobody waits for an attempt any more."""
 
-    def load_requested(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> None:
+    def load_requested(
+        self, id: int, function: str, replicas: int, memory_mb: float, concurrency: int
+    ) -> None:
         """Take a load request."""
 
     def unloaded(self, function: str) -> None:
         """Take that the idle replicas of a function may go."""
 
-    def asked(self, id: int) -> None:
+    def probe_received(self, id: int) -> None:
         """Take a probe."""
 
 
@@ -86,7 +88,7 @@
     ) -> None:
         """Take how an attempt ended."""
 
-    def stood(self, id: int, outcome: int, replicas: int) -> None:
+    def load_request_ended(self, id: int, outcome: int, replicas: int) -> None:
         """Take how a load request ended."""
 
     def probed(self, id: int, load: LoadReport) -> None:
@@ -105,10 +107,10 @@
 def send(
     serial: int,
     number: int,
-    mark: str,
+    idempotency_key: str,
     function: str,
     memory_mb: float,
-    lanes: int,
+    concurrency: int,
     request_class: str,
     tenant: str,
     remaining_ms: float,
@@ -122,10 +124,10 @@
             send=pb.Send(
                 serial=serial,
                 number=number,
-                mark=mark,
+                mark=idempotency_key,
                 function=function,
                 memory_mb=memory_mb,
-                lanes=lanes,
+                lanes=concurrency,
                 tariff=request_class,
                 customer=tenant,
                 remaining_ms=remaining_ms,
@@ -142,11 +144,11 @@
     return frame(pb.FromFront(withdraw=pb.Withdraw(serial=serial, number=number)).SerializeToString())
 
 
-def order(id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> bytes:
+def request_load(id: int, function: str, replicas: int, memory_mb: float, concurrency: int) -> bytes:
     """Encode a load request: this many replicas of a function; 0 only asks how many there are."""
     return frame(
         pb.FromFront(
-            order=pb.Order(id=id, function=function, copies=replicas, memory_mb=memory_mb, lanes=lanes)
+            order=pb.Order(id=id, function=function, copies=replicas, memory_mb=memory_mb, lanes=concurrency)
         ).SerializeToString()
     )
 
@@ -199,7 +201,7 @@
     )
 
 
-def stood(id: int, outcome: int, replicas: int) -> bytes:
+def load_request_ended(id: int, outcome: int, replicas: int) -> bytes:
     """Encode how a load request ended, and how many replicas are ready."""
     return frame(pb.FromExecutor(stood=pb.Stood(id=id, outcome=outcome, copies=replicas)).SerializeToString())
 
@@ -251,11 +253,11 @@
     )
 
 
-def _withdraw_received(withdraw: pb.Withdraw, listener: ExecutorListener) -> None:
+def _cancel_received(withdraw: pb.Withdraw, listener: ExecutorListener) -> None:
     listener.cancelled(withdraw.serial, withdraw.number)
 
 
-def _order_received(order: pb.Order, listener: ExecutorListener) -> None:
+def _load_request_received(order: pb.Order, listener: ExecutorListener) -> None:
     _check_names(order.function)
     _check_amounts(order.memory_mb)
     if order.copies > REPLICAS_BOUND:
@@ -269,7 +271,7 @@
 
 
 def _probe_received(probe: pb.Probe, listener: ExecutorListener) -> None:
-    listener.asked(probe.id)
+    listener.probe_received(probe.id)
 
 
 def _welcome_received(welcome: pb.Welcome, listener: FrontEndListener) -> None:
@@ -295,9 +297,9 @@
     )
 
 
-def _stood_received(stood: pb.Stood, listener: FrontEndListener) -> None:
+def _load_request_ended_received(stood: pb.Stood, listener: FrontEndListener) -> None:
     _check_outcome(stood.outcome)
-    listener.stood(stood.id, stood.outcome, stood.copies)
+    listener.load_request_ended(stood.id, stood.outcome, stood.copies)
 
 
 def _probed_received(probed: pb.Probed, listener: FrontEndListener) -> None:
@@ -308,15 +310,15 @@
 FROM_FRONT_END = {
     "greeting": _greeting_received,
     "send": _send_received,
-    "withdraw": _withdraw_received,
-    "order": _order_received,
+    "withdraw": _cancel_received,
+    "order": _load_request_received,
     "unload": _unload_received,
     "probe": _probe_received,
 }
 FROM_EXECUTOR = {
     "welcome": _welcome_received,
     "ended": _ended_received,
-    "stood": _stood_received,
+    "stood": _load_request_ended_received,
     "probed": _probed_received,
 }
 
--- a/petrelway/worker/front_end_connection.py
+++ b/petrelway/worker/front_end_connection.py
@@ -141,7 +141,7 @@
         """Have the scheduler end the idle replicas of a function."""
         self.worker.submit(self.worker.scheduler.unload_requested, function)
 
-    def asked(self, id: int) -> None:
+    def probe_received(self, id: int) -> None:
         """Answer a probe with the load report."""
         self.transport.write(codec.probed(id, self.worker.scheduler.load_report()))
 
@@ -167,7 +167,7 @@
     def answer_load_request(self, action: Action) -> None:
         """Send how a load request ended; nothing once the connection is closed."""
         if self.connected:
-            self.transport.write(codec.stood(action.serial, action.outcome, action.number))
+            self.transport.write(codec.load_request_ended(action.serial, action.outcome, action.number))
 
 
 def _client_attempt(body: bytes) -> int:
--- a/tests/compatibility/forms_wire.py
+++ b/tests/compatibility/forms_wire.py
@@ -54,7 +54,7 @@
         f"{FROM_FRONT}.greeting": codec.greeting("front-1", "p1"),
         f"{FROM_FRONT}.send": codec.send(*SEND),
         f"{FROM_FRONT}.withdraw": codec.cancel_attempt(7, 1),
-        f"{FROM_FRONT}.order": codec.order(3, "f", 2, 512.0, 4),
+        f"{FROM_FRONT}.order": codec.request_load(3, "f", 2, 512.0, 4),
         f"{FROM_FRONT}.unload": codec.unload("f"),
         f"{FROM_FRONT}.probe": codec.probe(9),
     }
@@ -66,7 +66,7 @@
         f"{FROM_EXECUTOR}.probed": codec.probed(9, REPORT),
     }
     for outcome in sorted(codec.EXECUTOR_OUTCOMES):
-        found[f"{FROM_EXECUTOR}.stood.{outcome}"] = codec.stood(3, outcome, 1)
+        found[f"{FROM_EXECUTOR}.stood.{outcome}"] = codec.load_request_ended(3, outcome, 1)
         ended = codec.ended(7, 1, outcome, 1, 4, REPORT, "text/plain", b"ok")
         found[f"{FROM_EXECUTOR}.ended.outcome-{outcome}"] = ended
     for warmth in Warmth:
--- a/tests/doubles.py
+++ b/tests/doubles.py
@@ -114,7 +114,7 @@
     def unloaded(self, function):
         self.said.append(("unloaded", function))
 
-    def asked(self, id):
+    def probe_received(self, id):
         self.said.append(("asked", id))
 
 
--- a/tests/test_alike.py
+++ b/tests/test_alike.py
@@ -15,7 +15,7 @@
 from petrelway.worker.service import WorkerConfig, WorkerService
 
 SUCCEEDED, ERROR, FULL, MISS = 0, 1, 2, 8
-FOUND, BEGAN, AWAITED, LOAD_FAILED = 1, 2, 3, 4
+WARM, STARTED_LOAD, AWAITED_LOAD, LOAD_FAILED = 1, 2, 3, 4
 LOAD_S, WORK_S = 0.5, 0.1
 
 
@@ -165,7 +165,7 @@
         )
 
     def order(self, id, replicas=1, function="f", mb=300.0):
-        return self.say(codec.order(id, function, replicas, mb, 2))
+        return self.say(codec.request_load(id, function, replicas, mb, 2))
 
     def run(self, seconds):
         for _ in range(int(seconds * 200)):
@@ -189,8 +189,8 @@
     def ended(self, serial, number, outcome, warmth, crowd, load, content_type, body):
         self.heard.append((serial, outcome, warmth))
 
-    def stood(self, id, outcome, replicas):
-        self.heard.append(("stood", id, outcome, replicas))
+    def load_request_ended(self, id, outcome, replicas):
+        self.heard.append(("load request ended", id, outcome, replicas))
 
     def probed(self, id, load):
         self.heard.append(("probed", id, load.queue, load.in_hand, load.loads))
@@ -201,37 +201,49 @@
     "a load begun, awaited, found": (
         False,
         lambda f: f.send(1).send(2).run(1.0).send(3).run(0.3),
-        [*HELLO, (1, 0, BEGAN), (2, 0, AWAITED), (3, 0, FOUND)],
+        [*HELLO, (1, 0, STARTED_LOAD), (2, 0, AWAITED_LOAD), (3, 0, WARM)],
     ),
     "miss, order, found": (
         True,
         lambda f: f.send(1).run(0.1).order(7).run(1.0).send(2).run(0.3),
-        [*HELLO, (1, MISS, 0), ("stood", 7, 0, 1), (2, 0, FOUND)],
+        [*HELLO, (1, MISS, 0), ("load request ended", 7, 0, 1), (2, 0, WARM)],
     ),
     "awaited behind an order": (
         True,
         lambda f: f.order(7).send(1).run(1.0),
-        [*HELLO, ("stood", 7, 0, 1), (1, 0, AWAITED)],
+        [*HELLO, ("load request ended", 7, 0, 1), (1, 0, AWAITED_LOAD)],
     ),
     "asking": (
         True,
         lambda f: f.order(7, 0).run(0.1).order(8).run(1.0).order(9, 0).run(0.1),
-        [*HELLO, ("stood", 7, 0, 0), ("stood", 8, 0, 1), ("stood", 9, 0, 1)],
+        [
+            *HELLO,
+            ("load request ended", 7, 0, 0),
+            ("load request ended", 8, 0, 1),
+            ("load request ended", 9, 0, 1),
+        ],
     ),
     "a load that fails": (
         False,
         lambda f: (setattr(f.other, "good", False), f.send(1).send(2).order(7).run(1.0))[1],
-        [*HELLO, (1, MISS, LOAD_FAILED), (2, MISS, LOAD_FAILED), ("stood", 7, ERROR, 0)],
+        [*HELLO, (1, MISS, LOAD_FAILED), (2, MISS, LOAD_FAILED), ("load request ended", 7, ERROR, 0)],
     ),
     "a queue that is full": (
         False,
         lambda f: [f.send(i) for i in range(1, 6)][0].run(1.5),
-        [*HELLO, (4, FULL, 0), (5, FULL, 0), (1, 0, BEGAN), (2, 0, AWAITED), (3, 0, AWAITED)],
+        [
+            *HELLO,
+            (4, FULL, 0),
+            (5, FULL, 0),
+            (1, 0, STARTED_LOAD),
+            (2, 0, AWAITED_LOAD),
+            (3, 0, AWAITED_LOAD),
+        ],
     ),
     "no room ever": (
         False,
         lambda f: f.send(1, mb=900.0).order(7, mb=900.0).run(0.3),
-        [*HELLO, (1, FULL, 0), ("stood", 7, FULL, 0)],
+        [*HELLO, (1, FULL, 0), ("load request ended", 7, FULL, 0)],
     ),
     "withdrawn while it waits": (False, lambda f: f.send(1).say(codec.cancel_attempt(1, 0)).run(1.5), HELLO),
     "withdrawn while it runs": (
@@ -243,17 +255,17 @@
     "unloaded": (
         True,
         lambda f: f.order(7).run(1.0).say(codec.unload("f")).run(0.1).send(1).run(0.2),
-        [*HELLO, ("stood", 7, 0, 1), (1, MISS, 0)],
+        [*HELLO, ("load request ended", 7, 0, 1), (1, MISS, 0)],
     ),
     "idle past its time": (
         True,
         lambda f: f.order(7).run(5.0).send(1).run(0.2),
-        [*HELLO, ("stood", 7, 0, 1), (1, MISS, 0)],
+        [*HELLO, ("load request ended", 7, 0, 1), (1, MISS, 0)],
     ),
     "probed": (
         False,
         lambda f: f.send(1).run(0.1).say(codec.probe(3)).run(1.0),
-        [*HELLO, ("probed", 3, 1, 1, 1), (1, 0, BEGAN)],
+        [*HELLO, ("probed", 3, 1, 1, 1), (1, 0, STARTED_LOAD)],
     ),
     "garbage": (False, lambda f: f.say(b"\x00\x00\x00\x02\xff\xff").run(0.1), HELLO),
 }
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -218,7 +218,7 @@
     rig.step()
     ((_, id, function, replicas),) = rig.said("load_requested")
     assert (function, replicas) == ("f", 1)
-    rig.executors[0][0].dataReceived(codec.stood(id, 0, 1))
+    rig.executors[0][0].dataReceived(codec.load_request_ended(id, 0, 1))
     rig.step()
     ((_, again, number, _),) = rig.sent()
     assert (again, number) == (serial, 1)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -194,7 +194,7 @@
         assert rig.link.order(id, "f", 1, 1.0, 1) is None
     assert rig.link.probe(4) is None
     rig.say(
-        codec.stood(2, 0, 1) + codec.stood(2, 0, 1) + codec.stood(4, 0, 1)
+        codec.load_request_ended(2, 0, 1) + codec.load_request_ended(2, 0, 1) + codec.load_request_ended(4, 0, 1)
     )  # 4 is a probe: no answer to it
     rig.cut()
     assert rig.ears.load_requests == [(2, Outcome.SUCCEEDED, 1), (3, Outcome.RESET, 0)]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -59,7 +59,7 @@
                 codec.from_front(payload, self)
 
     def __getattr__(self, name):
-        if name in ("greeted", "sent", "cancelled", "load_requested", "unloaded", "asked"):
+        if name in ("greeted", "sent", "cancelled", "load_requested", "unloaded", "probe_received"):
             return lambda *args: self.said.append((name, *args))
         raise AttributeError(name)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -27,9 +27,9 @@
         ("sent", 7, 1, "s\n1", "f", 512.0, 4, "status", "north", 900.5, 120.0, "text/plain", b"x"),
     ),
     (codec.cancel_attempt(7, 1), ("cancelled", 7, 1)),
-    (codec.order(3, "f", 2, 512.0, 4), ("load_requested", 3, "f", 2, 512.0, 4)),
+    (codec.request_load(3, "f", 2, 512.0, 4), ("load_requested", 3, "f", 2, 512.0, 4)),
     (codec.unload("f"), ("unloaded", "f")),
-    (codec.probe(9), ("asked", 9)),
+    (codec.probe(9), ("probe_received", 9)),
 ]
 FROM_EXECUTOR = [
     (codec.welcome("e1", "p2", "quad", 12.5), ("welcomed", "e1", "p2", "quad", 12.5)),
@@ -37,7 +37,7 @@
         codec.ended(7, 1, 0, 1, 4, LOAD, "text/plain", b"ok"),
         ("ended", 7, 1, 0, 1, 4, LOAD, "text/plain", b"ok"),
     ),
-    (codec.stood(3, 2, 1), ("stood", 3, 2, 1)),
+    (codec.load_request_ended(3, 2, 1), ("load_request_ended", 3, 2, 1)),
     (codec.probed(9, LOAD), ("probed", 9, LOAD)),
 ]
 
--- a/tests/test_worker_process.py
+++ b/tests/test_worker_process.py
@@ -1,4 +1,4 @@
-"""A worker process with real copies, against a store with faults: each hard case is caused."""
+"""A worker process with real replicas, against a store with faults: each hard case is caused."""
 
 import json
 import os
@@ -18,12 +18,18 @@
 from petrelway.fakes.package_store import Shelf, site
 from petrelway.wire import codec
 from petrelway.wire.framing import Frames
+from petrelway.wire.outcomes import ExecutorOutcome, ReplicaWarmth
 from petrelway.worker.package import build
 
 ROOT = Path(__file__).parent.parent
 WAIT_S = 30.0
-SUCCEEDED, ERROR, FULL, MISS = 0, 1, 2, 8
-FOUND, BEGAN, AWAITED, LOAD_FAILED = 1, 2, 3, 4
+SUCCEEDED = ExecutorOutcome.SUCCEEDED
+ERROR = ExecutorOutcome.ERROR
+FULL = ExecutorOutcome.FULL
+MISS = ExecutorOutcome.MISS
+WARM = ReplicaWarmth.WARM
+STARTED_LOAD = ReplicaWarmth.STARTED_LOAD
+LOAD_FAILED = ReplicaWarmth.LOAD_FAILED
 ENTRY = """
     import os, sys, time
     def run(body, call):
@@ -112,7 +118,7 @@
         for section, change in changes.items():
             settings[section] = {**settings[section], **change}
         (tmp_path / "worker.jsonnet").write_text(json.dumps(settings))
-        self.links = []
+        self.connections = []
         self.start()
 
     def start(self):
@@ -121,12 +127,12 @@
             cwd=ROOT,
             stderr=subprocess.PIPE,
         )
-        self.front = self.link()
+        self.front = self.connect()
 
-    def link(self):
-        link = Link(self.port)
-        self.links.append(link)
-        return link
+    def connect(self):
+        connection = FrontEnd(self.port)
+        self.connections.append(connection)
+        return connection
 
     def package(self, name="f", version="1", entry=ENTRY, memory=60, lanes=2, before="", blob=b""):
         folder = self.tmp / f"{name}-{version}"
@@ -159,8 +165,8 @@
         return [json.loads(x) for x in (self.tmp / "log").read_text().splitlines()]
 
     def close(self):
-        for link in self.links:
-            link.sock.close()
+        for connection in self.connections:
+            connection.sock.close()
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
@@ -170,7 +176,7 @@
         done.wait(WAIT_S)
 
 
-class Link:
+class FrontEnd:
     """A front end's side, with a plain socket."""
 
     def __init__(self, port):
@@ -187,7 +193,7 @@
         self.welcome = self.hear("welcomed")
 
     def __getattr__(self, name):
-        if name in ("welcomed", "ended", "stood", "probed"):
+        if name in ("welcomed", "ended", "load_request_ended", "probed"):
             return lambda *args: self.heard.append((name, *args))
         raise AttributeError(name)
 
@@ -197,7 +203,7 @@
                 if said[0] == kind and id in (None, said[1]):
                     return self.heard.pop(i)
             data = self.sock.recv(65536)
-            assert data, "the worker closed the link"
+            assert data, "the worker closed the connection"
             for payload in self.frames.feed(data):
                 codec.from_executor(payload, self)
 
@@ -229,8 +235,8 @@
     def ask(self, *args, **kw):
         return self.end(self.send(*args, **kw))
 
-    def order(self, id, function="f", replicas=1, memory=60.0):
-        self.sock.sendall(codec.order(id, function, replicas, memory, 2))
+    def request_load(self, id, function="f", replicas=1, memory=60.0):
+        self.sock.sendall(codec.request_load(id, function, replicas, memory, 2))
 
     def report(self):
         self.sock.sendall(codec.probe(1))
@@ -248,8 +254,8 @@
     rig.package()
     assert rig.front.welcome[1] == "e0" and rig.front.welcome[4] > 0
     outcome, warmth, body = rig.front.ask()
-    assert (outcome, warmth, body[:2]) == (SUCCEEDED, BEGAN, b"1 ")
-    assert rig.front.ask()[:2] == (SUCCEEDED, FOUND) and rig.shelf.counts["fetches"] == 1
+    assert (outcome, warmth, body[:2]) == (SUCCEEDED, STARTED_LOAD, b"1 ")
+    assert rig.front.ask()[:2] == (SUCCEEDED, WARM) and rig.shelf.counts["fetches"] == 1
     running = rig.front.send("sleep 1")
     until(lambda: rig.front.report().in_hand == 1, "not running")
     rig.process.send_signal(signal.SIGTERM)
@@ -260,7 +266,7 @@
     assert not (rig.tmp / "images" / "run" / "copy-1").exists()
 
 
-def test_a_kill_leaves_no_child_and_no_half_image(rig):
+def test_a_kill_leaves_no_child_and_no_partial_file(rig):
     rig.package()
     pid = int(rig.front.ask("fork")[2])
     assert psutil.pid_exists(pid)
@@ -276,7 +282,7 @@
     gone = lambda p: not p.is_running() or p.status() == psutil.STATUS_ZOMBIE  # noqa: E731
     until(lambda: all(gone(p) for p in replicas), "a child is left")
     rig.shelf.fetch_ms = 0.0
-    rig.start()  # the next process does away with the half one and keeps the whole one
+    rig.start()  # the next process removes the partial file and keeps the complete one
     assert rig.front.ask()[0] == SUCCEEDED and rig.shelf.counts["fetches"] == 2
     assert not list((rig.tmp / "images").glob(".half-*"))
 
@@ -299,10 +305,10 @@
     elif how == "no name":
         del rig.shelf.names["bad"]
     waiting = [rig.front.send(function="bad") for _ in range(3)]
-    rig.front.order(9, "bad")
+    rig.front.request_load(9, "bad")
     good = rig.front.send(function="good")
     assert [rig.front.end(s)[:2] for s in waiting] == [(MISS, LOAD_FAILED)] * 3  # they never ran
-    assert rig.front.hear("stood", 9)[2] == ERROR
+    assert rig.front.hear("load_request_ended", 9)[2] == ERROR
     assert rig.front.end(good)[0] == SUCCEEDED  # the rest goes on
     assert rig.front.ask(function="bad")[:2] == (MISS, LOAD_FAILED)  # backs off: no fetch for it
     until(lambda: rig.front.report().loads == 0 and len(rig.children()) == 1, "something is left of it")
@@ -333,7 +339,7 @@
     until(lambda: rig.front.report().in_hand == 1, "not running")
     assert rig.front.ask("exit")[0] == ERROR and rig.front.end(beside)[0] == ERROR  # they may have run
     outcome, warmth, body = rig.front.ask()
-    assert (outcome, warmth) == (SUCCEEDED, BEGAN) and int(body.split()[1]) != pid
+    assert (outcome, warmth) == (SUCCEEDED, STARTED_LOAD) and int(body.split()[1]) != pid
 
 
 def test_stops(rig):
@@ -345,52 +351,52 @@
     until(lambda: rig.front.report().in_hand == 0, "it does not stop")
     rig.front.send("busy 600", left=200.0)  # and out of time
     until(lambda: rig.front.report().in_hand == 0, "it does not stop")
-    assert int(rig.front.ask()[2].split()[1]) == pid  # the copy lives on
+    assert int(rig.front.ask()[2].split()[1]) == pid  # the replica lives on
     deaf = rig.front.send("deaf 600")
     until(lambda: rig.front.report().in_hand == 1, "not running")
     rig.front.sock.sendall(codec.cancel_attempt(deaf, 0))
-    until(lambda: rig.front.report().in_hand == 0, "a copy that ignores the stop is not killed")
+    until(lambda: rig.front.report().in_hand == 0, "a replica that ignores the stop is not killed")
     assert int(rig.front.ask()[2].split()[1]) != pid
 
 
 def test_one_load_for_five_front_ends(rig):
     rig.package()
-    fronts = [rig.link() for _ in range(5)]
+    fronts = [rig.connect() for _ in range(5)]
     rig.shelf.fetch_ms = 300.0
     for i, front in enumerate(fronts):
-        front.order(i, replicas=2)
-    assert [front.hear("stood", i)[2:] for i, front in enumerate(fronts)] == [(SUCCEEDED, 2)] * 5
+        front.request_load(i, replicas=2)
+    assert [front.hear("load_request_ended", i)[2:] for i, front in enumerate(fronts)] == [(SUCCEEDED, 2)] * 5
     assert rig.shelf.counts["fetches"] == 1 and len(rig.children()) == 2
 
 
-def test_repeats_of_a_mark(rig):
+def test_repeats_with_an_idempotency_key(rig):
     rig.package(lanes=4)
-    other = rig.link()
+    other = rig.connect()
     first = rig.front.send("sleep 0.5", request_class="marked", mark="m")
     second = other.send("sleep 0.5", request_class="marked", mark="m")
     one, two = rig.front.end(first), other.end(second)
     assert one[0] == two[0] == SUCCEEDED and one[2] == two[2]  # attached: ran once
     assert other.ask("raise no", request_class="marked", mark="m") == (
         SUCCEEDED,
-        FOUND,
+        WARM,
         one[2],
     )  # answered again
     assert rig.front.ask("raise no", request_class="marked", mark="other")[0] == ERROR
     assert rig.front.ask("", request_class="marked", mark="other")[0] == SUCCEEDED  # it had not happened
 
 
-def test_released_anew_while_calls_run(rig):
+def test_new_release_while_calls_run(rig):
     rig.package()
     running = rig.front.send("sleep 1")
     until(lambda: rig.front.report().in_hand == 1, "not running")
     rig.package(version="2")
     until(lambda: rig.front.ask()[2][:1] == b"2", "the new release does not come")
     assert rig.front.end(running)[2][:1] == b"1"  # it ended where it began
-    until(lambda: len(rig.children()) == 1, "the old copy stays")
+    until(lambda: len(rig.children()) == 1, "the old replica stays")
 
 
 @pytest.mark.parametrize("rig", [{"memory": {"budget_mb": 220, "measure_ms": 50}}], indirect=True)
-def test_a_copy_that_grows_past_what_it_told_while_another_loads(rig):
+def test_a_replica_that_grows_past_what_it_declared_while_another_loads(rig):
     rig.package("greedy", memory=50)
     rig.package("modest", memory=50)
     rig.package("next", memory=60)
