--- a/petrelway/wire/framing.py
+++ b/petrelway/wire/framing.py
@@ -33,6 +33,7 @@
     """
 
     def __init__(self, bound: int = FRAME_BOUND) -> None:
+        """Collect frames of at most `bound` bytes."""
         self.bound = bound
         self.buffer = bytearray()
 
--- a/petrelway/worker/attempts.py
+++ b/petrelway/worker/attempts.py
@@ -15,6 +15,7 @@
     """Opens, queues, answers and closes attempts, with those that attached to them as repeats."""
 
     def __init__(self, state: SchedulerState) -> None:
+        """Track the attempts in the shared state."""
         self.state = state
         self.deadlines: list[tuple[float, int, Attempt]] = []
         self.opened_count = 0
--- a/petrelway/worker/call_placement.py
+++ b/petrelway/worker/call_placement.py
@@ -11,6 +11,7 @@
     """Starts calls within the worker's and the replicas' concurrency limits."""
 
     def __init__(self, state: SchedulerState, loader: ReplicaLoader) -> None:
+        """Place calls on the replicas in the shared state; `loader` loads more of them."""
         self.state = state
         self.loader = loader
         self.last_call_id = 0
--- a/petrelway/worker/call_scheduler.py
+++ b/petrelway/worker/call_scheduler.py
@@ -30,6 +30,7 @@
     """One worker's decisions: events in, actions out."""
 
     def __init__(self, now: float, config: SchedulerConfig) -> None:
+        """Begin with no replicas, at the time `now`."""
         self.state = SchedulerState(config)
         self.attempts = AttemptTracker(self.state)
         self.pool = ReplicaPool(self.state, self.attempts)
--- a/petrelway/worker/deduplication.py
+++ b/petrelway/worker/deduplication.py
@@ -49,6 +49,7 @@
     """
 
     def __init__(self, entries_bound: int = ENTRIES_BOUND, bytes_bound: int = BYTES_BOUND) -> None:
+        """Remember at most so many completed entries, and bytes of their answers."""
         self.entries_bound = entries_bound
         self.bytes_bound = bytes_bound
         self.running: dict[str, RunningEntry[Caller]] = {}
--- a/petrelway/worker/eviction.py
+++ b/petrelway/worker/eviction.py
@@ -31,6 +31,7 @@
     """
 
     def __init__(self) -> None:
+        """Begin with nothing ranked."""
         self.base_priority = 0.0
         self.order: SortedList = SortedList()  # (priority, replica)
         self.priorities: dict[int, float] = {}
--- a/petrelway/worker/front_end_connection.py
+++ b/petrelway/worker/front_end_connection.py
@@ -27,6 +27,7 @@
     """One front end's connection. The codec calls it as a `codec.ExecutorListener`."""
 
     def __init__(self, worker: WorkerService) -> None:
+        """Serve one connection of this worker."""
         self.worker = worker
         self.frames = Frames()
         self.front_end = ""
--- a/petrelway/worker/load_requests.py
+++ b/petrelway/worker/load_requests.py
@@ -22,6 +22,7 @@
     """The load requests that are not answered yet, by function."""
 
     def __init__(self, state: SchedulerState) -> None:
+        """Begin with no requests; answers go to the shared state's actions."""
         self.state = state
         self.pending: dict[str, list[LoadRequest]] = {}
 
--- a/petrelway/worker/load_scheduler.py
+++ b/petrelway/worker/load_scheduler.py
@@ -39,6 +39,7 @@
     """The loads of one worker: some in progress, some queued."""
 
     def __init__(self, max_concurrent: int, queue_bound: int) -> None:
+        """Allow so many loads in progress, and so many more in the queue."""
         self.max_concurrent = max_concurrent
         self.queue_bound = queue_bound
         self.queue: dict[int, PendingLoad] = {}
--- a/petrelway/worker/memory_budget.py
+++ b/petrelway/worker/memory_budget.py
@@ -28,6 +28,7 @@
     """
 
     def __init__(self, total_mb: float) -> None:
+        """Begin with nothing used."""
         self.total_mb = total_mb
         self.declared_mb: dict[int, float] = {}  # of replicas and loads
         self.measured_mb: dict[int, float] = {}  # of replicas
--- a/petrelway/worker/package.py
+++ b/petrelway/worker/package.py
@@ -32,6 +32,7 @@
     """A package that can't be used: where, what was found, what is allowed."""
 
     def __init__(self, where: str, found: str, allowed: str) -> None:
+        """Say where the fault is, what was found there, and what is allowed."""
         super().__init__(f"{where}: found {found}; allowed: {allowed}")
         self.where, self.found, self.allowed = where, found, allowed
 
@@ -104,7 +105,7 @@
     files = {}
     for path in sorted(folder.rglob("*")):
         name = path.relative_to(folder).as_posix()
-        if "__pycache__" in path.parts or name == MANIFEST or path.is_dir() and not path.is_symlink():
+        if "__pycache__" in path.parts or name == MANIFEST or (path.is_dir() and not path.is_symlink()):
             continue
         if path.is_symlink() or not path.is_file():
             raise PackageError(name, "a link or a special file", "regular files only")
--- a/petrelway/worker/package_fetch.py
+++ b/petrelway/worker/package_fetch.py
@@ -23,6 +23,7 @@
     """A fetch that failed for good; `kind` is a short word for counts."""
 
     def __init__(self, kind: str, text: str) -> None:
+        """Take the kind for counts, and the text for the log."""
         super().__init__(text)
         self.kind = kind
 
@@ -43,6 +44,7 @@
     """
 
     def __init__(self, file, most_bytes: int) -> None:
+        """Write at most `most_bytes` to `file`."""
         self.file = file
         self.remaining_bytes = most_bytes
         self.completed: defer.Deferred[bool] = defer.Deferred(lambda _: self.abort())
@@ -71,6 +73,7 @@
     """Asks one store for names and packages."""
 
     def __init__(self, reactor, address: str, port: int, timeout_ms: float, silence_ms: float) -> None:
+        """Limit each answer to `timeout_ms`, and silence within a transfer to `silence_ms`."""
         self.reactor = reactor
         self.base_url = f"http://{address}:{port}"
         self.timeout_ms = timeout_ms
--- a/petrelway/worker/replica_host.py
+++ b/petrelway/worker/replica_host.py
@@ -32,6 +32,7 @@
         in_thread: Callable[..., defer.Deferred],
         log,
     ) -> None:
+        """Begin with no replicas."""
         self.reactor = reactor
         self.scheduler = scheduler
         self.cache = cache
--- a/petrelway/worker/replica_loader.py
+++ b/petrelway/worker/replica_loader.py
@@ -23,6 +23,7 @@
         pool: ReplicaPool,
         requests: LoadRequestTable,
     ) -> None:
+        """Load into the shared state and the pool."""
         self.state = state
         self.attempts = attempts
         self.pool = pool
--- a/petrelway/worker/replica_main.py
+++ b/petrelway/worker/replica_main.py
@@ -10,6 +10,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import ctypes
 import importlib
 import os
@@ -19,9 +20,16 @@
 import sys
 import threading
 
-HEAD = struct.Struct(">IBQ")  # length of what follows the length, kind, call
-CALL, STOP = 1, 2  # to the replica
-READY, ANSWER, RAISED, STOPPED = 1, 2, 3, 4  # from it
+HEAD = struct.Struct(">IBQ")  # length of what follows the length, kind, call id
+HEAD_BYTES_COUNTED = 9  # kind and call id, which the length counts
+# kinds of frames to the replica
+CALL = 1
+STOP = 2
+# kinds of frames from it
+READY = 1
+ANSWER = 2
+RAISED = 3
+STOPPED = 4
 ANSWER_BOUND = 900_000  # bytes; the worker's frames hold 1 MiB
 FRAME_BOUND = 1 << 20
 INPUT_FD = 3
@@ -37,6 +45,7 @@
     """What an entry is given beside the body."""
 
     def __init__(self) -> None:
+        """Begin as a call that somebody waits for."""
         self.stopped = False
 
 
@@ -46,13 +55,14 @@
     >>> frame(CALL, 7, b"x")
     b'\\x00\\x00\\x00\\n\\x01\\x00\\x00\\x00\\x00\\x00\\x00\\x00\\x07x'
     """
-    return HEAD.pack(9 + len(body), kind, call_id) + body
+    return HEAD.pack(HEAD_BYTES_COUNTED + len(body), kind, call_id) + body
 
 
 class CallThreads:
     """Threads that run the calls of one entry, and stop them."""
 
     def __init__(self, entry, concurrency: int) -> None:
+        """Start `concurrency` threads."""
         self.entry = entry
         self.queue: queue.SimpleQueue = queue.SimpleQueue()
         self.lock = threading.Lock()
@@ -130,41 +140,63 @@
     return b"".join(parts)
 
 
-def main() -> None:
-    """Import the entry, then run calls until the worker closes the pipe."""
-    # a worker that is killed must leave no child, nor what its replicas forked: the system signals it,
-    # and so does the end of the pipe; a plain kill of this process would leave what it forked
+def end_with_the_worker() -> None:
+    """Have this process and all that it forks end when the worker does.
+
+    A worker that is killed must leave no child, nor what its replicas forked: the system signals it, and so
+    does the end of the pipe; a plain kill of this process would leave what it forked.
+    """
     os.setsid()
-    signal.signal(signal.SIGTERM, lambda *_: os.killpg(0, signal.SIGKILL))
-    try:
+    signal.signal(signal.SIGTERM, lambda *_: kill_process_group())
+    with contextlib.suppress(OSError, AttributeError):  # not on every system; the pipe remains
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGTERM)
-    except (OSError, AttributeError):  # not on every system; the pipe remains
-        pass
-    folder = sys.argv[1]
-    entry = sys.argv[2]
-    concurrency = int(sys.argv[3])
+
+
+def kill_process_group() -> None:
+    """Kill this process with all that it forked."""
+    os.killpg(0, signal.SIGKILL)
+
+
+def load_entry(folder: str, entry: str):
+    """Import the entry, `module:callable`, from a package's folder."""
     sys.path.insert(0, folder)
     sys.dont_write_bytecode = True
     module, _, name = entry.partition(":")
     called = getattr(importlib.import_module(module), name)
     if not callable(called):
         raise TypeError(f"{entry} is not callable")
-    threads = CallThreads(called, concurrency)
+    return called
+
+
+def read_frame() -> tuple[int, int, bytes] | None:
+    """Read kind, call id and body; return None at the end of the pipe or a length out of bounds."""
+    head = read_exactly(HEAD.size)
+    if head is None:
+        return None
+    length, kind, call_id = HEAD.unpack(head)
+    if not HEAD_BYTES_COUNTED <= length <= FRAME_BOUND:
+        return None
+    body = read_exactly(length - HEAD_BYTES_COUNTED)
+    if body is None:
+        return None
+    return kind, call_id, body
+
+
+def main() -> None:
+    """Import the entry, then run calls until the worker closes the pipe."""
+    end_with_the_worker()
+    folder = sys.argv[1]
+    entry = sys.argv[2]
+    concurrency = int(sys.argv[3])
+    threads = CallThreads(load_entry(folder, entry), concurrency)
     threads.send(READY, 0)
-    while True:
-        head = read_exactly(HEAD.size)
-        if head is None:
-            os.killpg(0, signal.SIGKILL)
-            return
-        length, kind, call_id = HEAD.unpack(head)
-        body = read_exactly(length - 9) if 9 <= length <= FRAME_BOUND else None
-        if body is None:
-            os.killpg(0, signal.SIGKILL)
-            return
+    while (received := read_frame()) is not None:
+        kind, call_id, body = received
         if kind == CALL:
             threads.queue.put((call_id, body))
         elif kind == STOP:
             threads.stop(call_id)
+    kill_process_group()
 
 
 if __name__ == "__main__":
--- a/petrelway/worker/replica_pool.py
+++ b/petrelway/worker/replica_pool.py
@@ -14,6 +14,7 @@
     """Adds and ends replicas, and keeps memory budget and eviction ranking in step with them."""
 
     def __init__(self, state: SchedulerState, attempts: AttemptTracker) -> None:
+        """Keep the replicas in the shared state."""
         self.state = state
         self.attempts = attempts
 
--- a/petrelway/worker/replica_process.py
+++ b/petrelway/worker/replica_process.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import os
 import signal
 import sys
@@ -28,6 +29,7 @@
         exited_with: Callable,
         log,
     ) -> None:
+        """Start the timer of the start; `spawn` starts the process."""
         self.clock = clock
         self.ready = ready
         self.answered = answered
@@ -72,7 +74,7 @@
         self.buffer += data
         while len(self.buffer) >= child.HEAD.size and not self.exited:
             length, kind, call_id = child.HEAD.unpack_from(self.buffer)
-            if not 9 <= length <= child.FRAME_BOUND:
+            if not child.HEAD_BYTES_COUNTED <= length <= child.FRAME_BOUND:
                 self.end("frame out of bounds")  # the kind is a count's key: no numbers in it
                 return
             if len(self.buffer) < 4 + length:
@@ -132,10 +134,8 @@
         self.exited = True
         if self.timer.active():
             self.timer.cancel()
-        try:
+        with contextlib.suppress(ProcessLookupError, PermissionError):
             os.killpg(self.pid, signal.SIGKILL)
-        except (ProcessLookupError, PermissionError):
-            pass
         self.exited_with(self.end_reason or ("died" if self.is_ready else "exited during start"))
 
     def last_output(self) -> str:
--- a/petrelway/worker/scheduler_state.py
+++ b/petrelway/worker/scheduler_state.py
@@ -89,6 +89,7 @@
     """What the call scheduler knows. Each table is changed by one part, but read by several."""
 
     def __init__(self, config: SchedulerConfig) -> None:
+        """Begin with empty tables."""
         self.config = config
         self.actions: deque[Action] = deque()
         self.counts: Counter[str] = Counter()
--- a/petrelway/worker/service.py
+++ b/petrelway/worker/service.py
@@ -60,6 +60,7 @@
         record=None,
         in_thread: Callable[..., defer.Deferred] = threads.deferToThread,
     ) -> None:
+        """Prepare a worker that is not yet listening."""
         self.reactor = reactor
         self.config = config
         self.name = config.name
