--- a/benchmarks/worker.py
+++ b/benchmarks/worker.py
@@ -2,7 +2,7 @@
 
 Calls: a no-op package through the worker protocol against a bare process pool that does the same. Loads:
 time against the plain sum of fetch and start. Memory: reported against the system's PSS of the tree, at
-rest, under load and after eviction. Eviction: 200 packages over a budget for 20, zipf, hit rate against LRU
+rest, under load and after eviction. Eviction: 200 packages with memory for 20, zipf, hit rate against LRU
 and the offline optimum on the same trace, and the time of one decision against the number of replicas.
 """
 
@@ -36,8 +36,8 @@
         return sock.getsockname()[1]
 
 
-class Front:
-    """A front end's side of one link."""
+class FrontEnd:
+    """A front end's side of one connection."""
 
     def __init__(self, port: int) -> None:
         end = time.monotonic() + 20
@@ -124,7 +124,7 @@
             subprocess.Popen([*run, "worker", "serve", str(folder / "worker.json")]),
         ]
         time.sleep(1.0)
-        self.front = Front(port)
+        self.front = FrontEnd(port)
         self.worker = self.processes[1]
 
     def close(self) -> None:
@@ -243,11 +243,11 @@
                     for i in range(6):
                         fleet.front.sock.sendall(codec.unload(f"fat-{i}"))
                 time.sleep(1.0)
-                told, seen = fleet.front.report().used_mb, tree_mb(fleet.worker.pid)
-                worst = max(worst, abs(told - seen) / seen)
+                reported, seen = fleet.front.report().used_mb, tree_mb(fleet.worker.pid)
+                worst = max(worst, abs(reported - seen) / seen)
                 print(
-                    f"memory {what}: reported {told:.1f} MB, the system sees {seen:.1f} MB "
-                    f"({(told - seen) / seen:+.1%})"
+                    f"memory {what}: reported {reported:.1f} MB, the system sees {seen:.1f} MB "
+                    f"({(reported - seen) / seen:+.1%})"
                 )
         finally:
             fleet.close()
@@ -260,54 +260,54 @@
     return [bisect.bisect_left(popular, random_source.random() * popular[-1]) for _ in range(count)]
 
 
-def hits_lru(asked: list[int], room: int) -> int:
-    held: OrderedDict[int, None] = OrderedDict()
+def hits_lru(requested: list[int], capacity: int) -> int:
+    cached: OrderedDict[int, None] = OrderedDict()
     hits = 0
-    for each in asked:
-        if each in held:
+    for package_id in requested:
+        if package_id in cached:
             hits += 1
-            held.move_to_end(each)
+            cached.move_to_end(package_id)
             continue
-        if len(held) >= room:
-            held.popitem(last=False)
-        held[each] = None
+        if len(cached) >= capacity:
+            cached.popitem(last=False)
+        cached[package_id] = None
     return hits
 
 
-def hits_optimum(asked: list[int], room: int) -> int:
-    """Belady: what is asked for latest goes; the best there is for packages of one size."""
-    following, last = [0] * len(asked), {}
-    for i in range(len(asked) - 1, -1, -1):
-        following[i] = last.get(asked[i], len(asked) + 1)
-        last[asked[i]] = i
-    held: dict[int, int] = {}
+def hits_optimum(requested: list[int], capacity: int) -> int:
+    """Belady: what is requested latest is evicted; the best there is for packages of one size."""
+    following, last = [0] * len(requested), {}
+    for i in range(len(requested) - 1, -1, -1):
+        following[i] = last.get(requested[i], len(requested) + 1)
+        last[requested[i]] = i
+    cached: dict[int, int] = {}
     hits = 0
-    for i, each in enumerate(asked):
-        if each in held:
+    for i, package_id in enumerate(requested):
+        if package_id in cached:
             hits += 1
-        elif len(held) >= room:
-            latest = max(held, key=held.__getitem__)
-            if held[latest] > following[i]:
-                del held[latest]
+        elif len(cached) >= capacity:
+            latest = max(cached, key=cached.__getitem__)
+            if cached[latest] > following[i]:
+                del cached[latest]
             else:
                 continue  # not worth keeping at all
-        held[each] = following[i]
+        cached[package_id] = following[i]
     return hits
 
 
-def hits_ranking(asked: list[int], room: int) -> int:
-    ranking, held, hits = EvictionRanking(), {}, 0
-    for i, each in enumerate(asked):
+def hits_ranking(requested: list[int], capacity: int) -> int:
+    ranking, cached, hits = EvictionRanking(), {}, 0
+    for i, package_id in enumerate(requested):
         now = i * 20.0
-        ranking.record_use(str(each), now)
-        if each in held:
+        ranking.record_use(str(package_id), now)
+        if package_id in cached:
             hits += 1
-        elif len(held) >= room:
+        elif len(cached) >= capacity:
             gone = next(iter(ranking.lowest_first()))
             ranking.record_eviction(gone)
-            del held[gone]
-        held[each] = None
-        ranking.add_idle(each, str(each), 300.0, 700.0, now)
+            del cached[gone]
+        cached[package_id] = None
+        ranking.add_idle(package_id, str(package_id), 300.0, 700.0, now)
     return hits
 
 
@@ -315,11 +315,11 @@
     for zipf in (0.8, 1.0, 1.2):
         rows = {"LRU": 0.0, "ranking": 0.0, "optimum": 0.0}
         for seed in range(5):
-            asked = trace(20_000, 200, zipf, seed)
+            requested = trace(20_000, 200, zipf, seed)
             for name, of in (("LRU", hits_lru), ("ranking", hits_ranking), ("optimum", hits_optimum)):
-                rows[name] += of(asked, 20) / len(asked) / 5
+                rows[name] += of(requested, 20) / len(requested) / 5
         print(
-            f"eviction, 200 packages, room for 20, zipf {zipf}: hit rate "
+            f"eviction, 200 packages, memory for 20, zipf {zipf}: hit rate "
             + ", ".join(f"{name} {rate:.3f}" for name, rate in rows.items())
         )
     for replicas in (100, 1_000, 10_000):
--- a/petrelway/worker/call_scheduler.py
+++ b/petrelway/worker/call_scheduler.py
@@ -237,7 +237,7 @@
         return Action(ActionKind.SET_TIMER, at_ms=at_ms)
 
     def load_report(self) -> LoadReport:
-        """Return the load that front ends are told."""
+        """Return the load that is reported to front ends."""
         state = self.state
         budget = state.budget
         pinned_mb = sum(budget.charged_mb(replica.id) for replica in state.replicas.values() if replica.calls)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -46,18 +46,18 @@
     "table, read", [(FROM_FRONT, codec.from_front), (FROM_EXECUTOR, codec.from_executor)]
 )
 def test_every_message_split_at_every_place(table, read):
-    whole = b"".join(data for data, _ in table)
+    stream = b"".join(data for data, _ in table)
     expected = [call for _, call in table]
-    for cut in range(len(whole) + 1):
+    for cut in range(len(stream) + 1):
         side, frames = Side(), Frames()
-        for part in (whole[:cut], whole[cut:]):
+        for part in (stream[:cut], stream[cut:]):
             for payload in frames.feed(part):
                 read(payload, side)
         assert side.calls == expected, cut
         assert not frames.buffer
 
 
-def test_refused_bytes():
+def test_rejected_bytes():
     # payload, who reads it, a word of the reason
     table = [
         (b"\xff\xff", codec.from_front, "no message"),
@@ -93,7 +93,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
-def test_any_bytes_are_messages_or_one_fault(data):
+def test_any_bytes_are_messages_or_one_error(data):
     for read in (codec.from_front, codec.from_executor):
         try:
             read(data, Side())
@@ -106,7 +106,7 @@
             pass
 
 
-def test_lists():
+def test_endpoint_lists():
     lines = [
         registry_codec.EndpointEntry("e1", "127.0.0.1", 7001, "a", "quad", 2, stage, 1.0, 5.0)
         for stage in registry_codec.STAGES
