--- a/tests/test_alike.py
+++ b/tests/test_alike.py
@@ -1,7 +1,5 @@
 """One table of cases on the wire, against the stand-in executor and the worker runtime: no drifting apart."""
 
-from collections import Counter
-
 import pytest
 from doubles import Log, Pipe, clock, lost
 from twisted.internet import defer
@@ -12,11 +10,12 @@
 from petrelway.settings.days import check_day
 from petrelway.wire import codec
 from petrelway.wire.framing import Frames
-from petrelway.worker.call_scheduler import Desk
-from petrelway.worker.service import FrontLink, Worker
+from petrelway.worker.front_end_connection import FrontEndConnectionProtocol
+from petrelway.worker.scheduler_state import SchedulerConfig
+from petrelway.worker.service import WorkerConfig, WorkerService
 
 SUCCEEDED, ERROR, FULL, MISS = 0, 1, 2, 8
-FOUND, BEGAN, AWAITED, LOAD_FAILED = 1, 2, 3, 4
+WARM, STARTED_LOAD, AWAITED_LOAD, LOAD_FAILED = 1, 2, 3, 4
 LOAD_S, WORK_S = 0.5, 0.1
 
 
@@ -60,51 +59,78 @@
 
 
 class Runtime:
-    """The runtime's protocol and desk, with loads and calls played by the clock."""
+    """The runtime's protocol and call scheduler, with loads and calls played by the clock."""
 
     def __init__(self, misses):
         self.clock, self.good = clock(), True
-        self.worker = Worker.__new__(Worker)
-        w = self.worker
-        w.reactor, w.name, w.machine, w.process, w.started_ms = self.clock, "executor-0", "quad", "q", 0.0
-        w.desk = Desk(self.clock.seconds() * 1e3, 700.0, 2, 8, 32, 3, 3000.0, False, misses, 9000.0, 500.0)
-        w.links, w.replicas, w.loading, w.keyed, w.log, w.record = [], {}, {}, {}, Log(), None
-        w.turn = w.wake = w.emptied = None
-        w.closing = False
-        w.counts = Counter()
-        w._load = self._load
-        w.images = self
-
-    def leave(self, name):
+        self.worker = WorkerService(
+            self.clock,
+            WorkerConfig(
+                name="executor-0",
+                machine="quad",
+                address="127.0.0.1",
+                port=0,
+                deduplication_windows_ms={},
+                start_timeout_ms=1000.0,
+                measure_interval_ms=0.0,
+                release_check_interval_ms=0.0,
+                process="q",
+            ),
+            SchedulerConfig(
+                memory_mb=700.0,
+                max_concurrent_loads=2,
+                load_queue_bound=8,
+                max_concurrent_calls=32,
+                call_queue_bound=3,
+                idle_timeout_ms=3000.0,
+                scale_out=False,
+                answers_miss=misses,
+                load_patience_ms=9000.0,
+                stop_grace_ms=500.0,
+            ),
+            cache=self,
+            store=None,
+            log=Log(),
+        )
+        self.worker.host._load = self._load
+
+    def remove_unpacked(self, name):
         pass
 
-    def _load(self, id, function):
-        w = self.worker
-        w.replicas[id] = FakeReplica(self, id)
-        done = (w.desk.load_stood, id) if self.good else (w.desk.load_failed, id, "fetch")
-        self.clock.callLater(LOAD_S, w.tell, *done)
+    def _load(self, replica_id, function):
+        worker = self.worker
+        worker.host.replicas[replica_id] = FakeReplica(self, replica_id)
+        scheduler = worker.scheduler
+        ended = (
+            (scheduler.load_completed, replica_id)
+            if self.good
+            else (scheduler.load_failed, replica_id, "fetch")
+        )
+        self.clock.callLater(LOAD_S, worker.submit, *ended)
         return defer.Deferred()
 
     def link(self):
-        return FrontLink(self.worker)
+        return FrontEndConnectionProtocol(self.worker)
 
 
 class FakeReplica:
-    gone = False
+    exited = False
 
-    def __init__(self, rig, id):
-        self.rig, self.id, self.pid = rig, id, 0
+    def __init__(self, rig, replica_id):
+        self.rig, self.replica_id, self.pid = rig, replica_id, 0
 
-    def call(self, call, body):
+    def call(self, call_id, body):
+        worker = self.rig.worker
         self.rig.clock.callLater(
-            WORK_S, self.rig.worker.tell, self.rig.worker.desk.call_ended, self.id, call, True, b""
+            WORK_S, worker.submit, worker.scheduler.call_ended, self.replica_id, call_id, True, b""
         )
 
-    def stop_call(self, call):
-        self.rig.worker.tell(self.rig.worker.desk.call_ended, self.id, call, False, b"")
+    def stop_call(self, call_id):
+        worker = self.rig.worker
+        worker.submit(worker.scheduler.call_ended, self.replica_id, call_id, False, b"")
 
     def end(self, why):
-        self.gone = True
+        self.exited = True
 
 
 class Front:
@@ -139,7 +165,7 @@
         )
 
     def order(self, id, replicas=1, function="f", mb=300.0):
-        return self.say(codec.order(id, function, replicas, mb, 2))
+        return self.say(codec.request_load(id, function, replicas, mb, 2))
 
     def run(self, seconds):
         for _ in range(int(seconds * 200)):
@@ -163,8 +189,8 @@
     def ended(self, serial, number, outcome, warmth, crowd, load, content_type, body):
         self.heard.append((serial, outcome, warmth))
 
-    def stood(self, id, outcome, replicas):
-        self.heard.append(("stood", id, outcome, replicas))
+    def load_request_ended(self, id, outcome, replicas):
+        self.heard.append(("load request ended", id, outcome, replicas))
 
     def probed(self, id, load):
         self.heard.append(("probed", id, load.queue, load.in_hand, load.loads))
@@ -175,37 +201,49 @@
     "a load begun, awaited, found": (
         False,
         lambda f: f.send(1).send(2).run(1.0).send(3).run(0.3),
-        [*HELLO, (1, 0, BEGAN), (2, 0, AWAITED), (3, 0, FOUND)],
+        [*HELLO, (1, 0, STARTED_LOAD), (2, 0, AWAITED_LOAD), (3, 0, WARM)],
     ),
     "miss, order, found": (
         True,
         lambda f: f.send(1).run(0.1).order(7).run(1.0).send(2).run(0.3),
-        [*HELLO, (1, MISS, 0), ("stood", 7, 0, 1), (2, 0, FOUND)],
+        [*HELLO, (1, MISS, 0), ("load request ended", 7, 0, 1), (2, 0, WARM)],
     ),
     "awaited behind an order": (
         True,
         lambda f: f.order(7).send(1).run(1.0),
-        [*HELLO, ("stood", 7, 0, 1), (1, 0, AWAITED)],
+        [*HELLO, ("load request ended", 7, 0, 1), (1, 0, AWAITED_LOAD)],
     ),
     "asking": (
         True,
         lambda f: f.order(7, 0).run(0.1).order(8).run(1.0).order(9, 0).run(0.1),
-        [*HELLO, ("stood", 7, 0, 0), ("stood", 8, 0, 1), ("stood", 9, 0, 1)],
+        [
+            *HELLO,
+            ("load request ended", 7, 0, 0),
+            ("load request ended", 8, 0, 1),
+            ("load request ended", 9, 0, 1),
+        ],
     ),
     "a load that fails": (
         False,
         lambda f: (setattr(f.other, "good", False), f.send(1).send(2).order(7).run(1.0))[1],
-        [*HELLO, (1, MISS, LOAD_FAILED), (2, MISS, LOAD_FAILED), ("stood", 7, ERROR, 0)],
+        [*HELLO, (1, MISS, LOAD_FAILED), (2, MISS, LOAD_FAILED), ("load request ended", 7, ERROR, 0)],
     ),
     "a queue that is full": (
         False,
         lambda f: [f.send(i) for i in range(1, 6)][0].run(1.5),
-        [*HELLO, (4, FULL, 0), (5, FULL, 0), (1, 0, BEGAN), (2, 0, AWAITED), (3, 0, AWAITED)],
+        [
+            *HELLO,
+            (4, FULL, 0),
+            (5, FULL, 0),
+            (1, 0, STARTED_LOAD),
+            (2, 0, AWAITED_LOAD),
+            (3, 0, AWAITED_LOAD),
+        ],
     ),
     "no room ever": (
         False,
         lambda f: f.send(1, mb=900.0).order(7, mb=900.0).run(0.3),
-        [*HELLO, (1, FULL, 0), ("stood", 7, FULL, 0)],
+        [*HELLO, (1, FULL, 0), ("load request ended", 7, FULL, 0)],
     ),
     "withdrawn while it waits": (False, lambda f: f.send(1).say(codec.cancel_attempt(1, 0)).run(1.5), HELLO),
     "withdrawn while it runs": (
@@ -217,17 +255,17 @@
     "unloaded": (
         True,
         lambda f: f.order(7).run(1.0).say(codec.unload("f")).run(0.1).send(1).run(0.2),
-        [*HELLO, ("stood", 7, 0, 1), (1, MISS, 0)],
+        [*HELLO, ("load request ended", 7, 0, 1), (1, MISS, 0)],
     ),
     "idle past its time": (
         True,
         lambda f: f.order(7).run(5.0).send(1).run(0.2),
-        [*HELLO, ("stood", 7, 0, 1), (1, MISS, 0)],
+        [*HELLO, ("load request ended", 7, 0, 1), (1, MISS, 0)],
     ),
     "probed": (
         False,
         lambda f: f.send(1).run(0.1).say(codec.probe(3)).run(1.0),
-        [*HELLO, ("probed", 3, 1, 1, 1), (1, 0, BEGAN)],
+        [*HELLO, ("probed", 3, 1, 1, 1), (1, 0, STARTED_LOAD)],
     ),
     "garbage": (False, lambda f: f.say(b"\x00\x00\x00\x02\xff\xff").run(0.1), HELLO),
 }
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -102,7 +102,7 @@
 
     def end(self, executor, serial, outcome, number=0, warmth=1):
         self.executors[executor][0].dataReceived(
-            codec.ended(serial, number, outcome, warmth, 0, codec.Load(), "text/plain", b"done")
+            codec.ended(serial, number, outcome, warmth, 0, codec.LoadReport(), "text/plain", b"done")
         )
 
     def kinds(self, serial):
@@ -218,7 +218,7 @@
     rig.step()
     ((_, id, function, replicas),) = rig.said("load_requested")
     assert (function, replicas) == ("f", 1)
-    rig.executors[0][0].dataReceived(codec.stood(id, 0, 1))
+    rig.executors[0][0].dataReceived(codec.load_request_ended(id, 0, 1))
     rig.step()
     ((_, again, number, _),) = rig.sent()
     assert (again, number) == (serial, 1)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -59,12 +59,13 @@
                 codec.from_front(payload, self)
 
     def __getattr__(self, name):
-        if name in ("greeted", "sent", "cancelled", "load_requested", "unloaded", "asked"):
+        if name in ("greeted", "sent", "cancelled", "load_requested", "unloaded", "probe_received"):
             return lambda *args: self.said.append((name, *args))
         raise AttributeError(name)
 
     def end(self, sent, outcome=0):
-        self.link.sendall(codec.ended(sent[1], sent[2], outcome, 1, 0, codec.Load(), "text/plain", b"done"))
+        load = codec.LoadReport()
+        self.link.sendall(codec.ended(sent[1], sent[2], outcome, 1, 0, load, "text/plain", b"done"))
 
 
 @pytest.fixture
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -19,7 +19,7 @@
         return lambda *args: self.calls.append((name, *args))
 
 
-LOAD = codec.Load(3, 5, 2, 0.25)
+LOAD = codec.LoadReport(3, 5, 2, 0.25)
 FROM_FRONT = [
     (codec.greeting("front-1", "p1"), ("greeted", "front-1", "p1")),
     (
@@ -27,9 +27,9 @@
         ("sent", 7, 1, "s\n1", "f", 512.0, 4, "status", "north", 900.5, 120.0, "text/plain", b"x"),
     ),
     (codec.cancel_attempt(7, 1), ("cancelled", 7, 1)),
-    (codec.order(3, "f", 2, 512.0, 4), ("load_requested", 3, "f", 2, 512.0, 4)),
+    (codec.request_load(3, "f", 2, 512.0, 4), ("load_requested", 3, "f", 2, 512.0, 4)),
     (codec.unload("f"), ("unloaded", "f")),
-    (codec.probe(9), ("asked", 9)),
+    (codec.probe(9), ("probe_received", 9)),
 ]
 FROM_EXECUTOR = [
     (codec.welcome("e1", "p2", "quad", 12.5), ("welcomed", "e1", "p2", "quad", 12.5)),
@@ -37,7 +37,7 @@
         codec.ended(7, 1, 0, 1, 4, LOAD, "text/plain", b"ok"),
         ("ended", 7, 1, 0, 1, 4, LOAD, "text/plain", b"ok"),
     ),
-    (codec.stood(3, 2, 1), ("stood", 3, 2, 1)),
+    (codec.load_request_ended(3, 2, 1), ("load_request_ended", 3, 2, 1)),
     (codec.probed(9, LOAD), ("probed", 9, LOAD)),
 ]
 
@@ -46,18 +46,18 @@
     "table, read", [(FROM_FRONT, codec.from_front), (FROM_EXECUTOR, codec.from_executor)]
 )
 def test_every_message_split_at_every_place(table, read):
-    whole = b"".join(data for data, _ in table)
+    stream = b"".join(data for data, _ in table)
     expected = [call for _, call in table]
-    for cut in range(len(whole) + 1):
+    for cut in range(len(stream) + 1):
         side, frames = Side(), Frames()
-        for part in (whole[:cut], whole[cut:]):
+        for part in (stream[:cut], stream[cut:]):
             for payload in frames.feed(part):
                 read(payload, side)
         assert side.calls == expected, cut
-        assert not frames.held
+        assert not frames.buffer
 
 
-def test_refused_bytes():
+def test_rejected_bytes():
     # payload, who reads it, a word of the reason
     table = [
         (b"\xff\xff", codec.from_front, "no message"),
@@ -69,11 +69,11 @@
             codec.from_executor,
             "version 0",
         ),
-        (pb.FromFront(order=pb.Order(copies=17)).SerializeToString(), codec.from_front, "17 copies"),
+        (pb.FromFront(order=pb.Order(copies=17)).SerializeToString(), codec.from_front, "17 replicas"),
         (pb.FromFront(send=pb.Send(mark="x" * 600)).SerializeToString(), codec.from_front, "600 characters"),
         (pb.FromFront(send=pb.Send(memory_mb=float("nan"))).SerializeToString(), codec.from_front, "finite"),
         (pb.FromFront(send=pb.Send(remaining_ms=-1.0)).SerializeToString(), codec.from_front, "0 or more"),
-        # danger: an executor's word for "it never left the front end" would free a one-shot request
+        # an executor that says "it never left the front end" would have a non-idempotent request run twice
         (pb.FromExecutor(ended=pb.Ended(outcome=4)).SerializeToString(), codec.from_executor, "may not say"),
         (pb.FromExecutor(ended=pb.Ended(outcome=7)).SerializeToString(), codec.from_executor, "may not say"),
         (pb.FromExecutor(ended=pb.Ended(warmth=5)).SerializeToString(), codec.from_executor, "warmth 5"),
@@ -93,7 +93,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
-def test_any_bytes_are_messages_or_one_fault(data):
+def test_any_bytes_are_messages_or_one_error(data):
     for read in (codec.from_front, codec.from_executor):
         try:
             read(data, Side())
@@ -106,7 +106,7 @@
             pass
 
 
-def test_lists():
+def test_endpoint_lists():
     lines = [
         registry_codec.EndpointEntry("e1", "127.0.0.1", 7001, "a", "quad", 2, stage, 1.0, 5.0)
         for stage in registry_codec.STAGES
