--- a/benchmarks/capacity_front_end_fleet.py
+++ b/benchmarks/capacity_front_end_fleet.py
@@ -25,7 +25,7 @@
 
 from petrelway.capacity.slopes import Evidence, Slope, fit
 from petrelway.common.endpoint_entry import EndpointEntry
-from petrelway.gateway.dispatcher import Host
+from petrelway.gateway.dispatcher import Dispatcher
 from petrelway.routing.types import Stage
 from petrelway.wire import codec
 
@@ -151,7 +151,7 @@
     network = WelcomingNetwork()
     tracemalloc.start()
     before = traced_bytes()
-    host = Host(
+    host = Dispatcher(
         clock, new_front_end(), "front", "process", ["class"], ["tenant"], [], [], 5000.0, network.connect,
         random.Random(1), SilentLog(),
     )  # fmt: skip
@@ -176,7 +176,7 @@
     clock.advance(0.0)
     whole = traced_bytes() - before
     tracemalloc.stop()
-    assert sum(link.ready for link in host.links.values()) == executors
+    assert sum(link.ready for link in host.channels.values()) == executors
     return whole - module_bytes(executors)
 
 
--- a/petrelway/common/deployment_settings.py
+++ b/petrelway/common/deployment_settings.py
@@ -30,7 +30,7 @@
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
-class Terms(NamedTuple):
+class DeploymentSettings(NamedTuple):
     """What one front end is told of its deployment. Times in ms; 0: untold."""
 
     place: Place
@@ -66,11 +66,11 @@
     """A setting that can't be used: where it stands, what was found, what is allowed."""
 
 
-class Part:
+class SettingsReader:
     """One object of the settings. Danger: what is missing, or read as something else, would change decisions
     without a word; without the time that an executor is cold, rule 4 would not be kept.
 
-    >>> Part({"aimS": "1"}, "settings").number("aimS", 1e3)
+    >>> SettingsReader({"aimS": "1"}, "settings").number("aimS", 1e3)
     Traceback (most recent call last):
     petrelway.common.deployment_settings.DeploymentSettingsError: settings.aimS: found '1'; allowed: a number from 0 to 1e+09
     """
@@ -89,15 +89,15 @@
         found = f"{self.told[key]!r:.60}" if key in self.told else "nothing"
         return DeploymentSettingsError(f"{self.path}.{key}: found {found}; allowed: {allowed}")
 
-    def part(self, key: str) -> Part:
-        return Part(self.read(key), f"{self.path}.{key}")
+    def part(self, key: str) -> SettingsReader:
+        return SettingsReader(self.read(key), f"{self.path}.{key}")
 
-    def parts(self, key: str) -> list[Part]:
+    def parts(self, key: str) -> list[SettingsReader]:
         """Objects in a list; none where the key is missing."""
         found = self.read(key, [])
         if type(found) is not list:
             raise self.fault(key, "a list of objects")
-        return [Part(each, f"{self.path}.{key}[{i}]") for i, each in enumerate(found)]
+        return [SettingsReader(each, f"{self.path}.{key}[{i}]") for i, each in enumerate(found)]
 
     def number(
         self,
@@ -148,7 +148,7 @@
 LEAST, SECONDS = 1e-6, 1e6  # of a time in seconds that must be one; the longest
 
 
-def _request_class(told: Part) -> RequestClass:
+def _request_class(told: SettingsReader) -> RequestClass:
     idempotency = told.word("effect", EFFECTS)
     keyed = idempotency is Idempotency.KEYED
     return RequestClass(
@@ -162,14 +162,14 @@
     )
 
 
-def read_terms(settings: Any) -> Terms:
+def read_deployment_settings(settings: Any) -> DeploymentSettings:
     """Raises DeploymentSettingsError at the first setting that can't be used.
 
-    >>> read_terms({"classes": [{"name": "a", "aimS": 1.0, "effect": "dedup", "dedupScope": "all"}]})
+    >>> read_deployment_settings({"classes": [{"name": "a", "aimS": 1.0, "effect": "dedup", "dedupScope": "all"}]})
     Traceback (most recent call last):
     petrelway.common.deployment_settings.DeploymentSettingsError: settings.classes[0].windowS: found nothing; allowed: a number from 0 to 1e+06
     """
-    told = Part(settings, "settings")
+    told = SettingsReader(settings, "settings")
     classes, orgs = told.parts("classes"), told.parts("orgs")
     if not classes:
         raise told.fault("classes", "one or more")
@@ -217,7 +217,7 @@
         family.number("loadFloor") if window_ms else 0.0,
         family.number("loadsPerRequest") if window_ms else 0.0,
     )
-    return Terms(
+    return DeploymentSettings(
         place,
         request_classes,
         tenants,
--- a/petrelway/common/index_table.py
+++ b/petrelway/common/index_table.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-class Ids:
+class IndexTable:
     """Outside ids and the small indices that stand for them; freed indices are used anew."""
 
     def __init__(self) -> None:
--- a/petrelway/common/structured_logs.py
+++ b/petrelway/common/structured_logs.py
@@ -19,11 +19,11 @@
 TRACE_CHARACTERS = 4000
 
 
-class Lines:
+class BufferedLogStream:
     """A stream whose lines wait until there is time to write them; bounded, what is too much is counted.
 
     >>> import io
-    >>> out = io.StringIO(); lines = Lines(out, bound=2); lines.at_once = False
+    >>> out = io.StringIO(); lines = BufferedLogStream(out, bound=2); lines.at_once = False
     >>> for text in ("a", "b", "c"): _ = lines.write(text + chr(10))
     >>> lines.ship(), lines.ship(), out.getvalue().splitlines()
     (True, False, ['a', 'b', '(1 log lines lost: too many at once)'])
@@ -114,13 +114,13 @@
 
 def start(
     form: str, level: str, path: str = "", stream: TextIO | None = None, **bound: Any
-) -> tuple[structlog.typing.FilteringBoundLogger, Lines]:
+) -> tuple[structlog.typing.FilteringBoundLogger, BufferedLogStream]:
     """A logger for one process, and the stream behind it. `path` empty: `stream`, or standard error.
 
     Raises OSError if the file can't be opened.
     """
     to = open(path, "a", buffering=1, encoding="utf-8") if path else stream or sys.stderr  # noqa: SIM115
-    stream = Lines(to)
+    stream = BufferedLogStream(to)
     last = (
         structlog.processors.JSONRenderer()
         if form == "json"
--- a/petrelway/console/pages.py
+++ b/petrelway/console/pages.py
@@ -42,7 +42,7 @@
     yield
     for row in explainer.executors(host.front_end, host.executors.wire, host.zones.wire, now):
         row["last minute"] = minute.get(row["executor"], {})
-        link = host.links.get(host.executors.index.get(row["executor"], -1))
+        link = host.channels.get(host.executors.index.get(row["executor"], -1))
         row["link"] = "up" if link is not None and link.ready else "down"
         row["executor"] = short(row["executor"])
         rows.append(row)
@@ -54,7 +54,7 @@
 def functions(d: Any, asked: dict[str, str]) -> Generator[None, None, dict[str, Any]]:
     """Per function where it is believed warm; the hot ones by the sketch."""
     host, now = d.host, d.now()
-    known = {index: f.name for index, f in host.known.items()}
+    known = {index: f.name for index, f in host.known_functions.items()}
     yield
     wanted = asked.get("search", "")
     found = [index for index, name in known.items() if wanted in name]
--- a/petrelway/daemon/service.py
+++ b/petrelway/daemon/service.py
@@ -11,10 +11,10 @@
 
 from ..background.planner import Class, Planner
 from ..background.running import Background
-from ..common.structured_logs import Lines
+from ..common.structured_logs import BufferedLogStream
 from ..console.serving import Console, read_token
 from ..console.telemetry import Telemetry
-from ..gateway.cloudevent_requests import Ask
+from ..gateway.cloudevent_requests import ReceivedRequest
 from ..gateway.service import FrontEndService
 from ..routing.router import FrontEnd
 from ..sockets.listening import listen_tcp
@@ -39,7 +39,7 @@
         meter: Callable[[], float] | None = None,
         process: str = "",
         spent: Callable[[], float] = time.perf_counter,
-        lines: Lines | None = None,
+        lines: BufferedLogStream | None = None,
         note: Callable[..., Any] | None = None,
         unix_ahead_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
@@ -75,7 +75,7 @@
             random_source,
         )
         super().startService()
-        self.host.watch = self.telemetry
+        self.host.observer = self.telemetry
         self.intake.guard, self.intake.shut = self._guard, self.shedder.shut
         self.background.on_lag.append(self._lag_seen)
         self.background.start()
@@ -113,12 +113,12 @@
         while True:
             yield None if self.lines.ship() else HOUSEKEEPING_MS
 
-    def _guard(self, ask: Ask) -> float:
+    def _guard(self, ask: ReceivedRequest) -> float:
         return self.shedder.ask(self.now(), ask.tenant, ask.repeat)
 
     def _lag_seen(self, lag_ms: float) -> None:
         before = self.shedder.step
-        self.shedder.seen(lag_ms, self.host.owed, self.host.held_bytes, self.intake.connections)
+        self.shedder.seen(lag_ms, self.host.unanswered, self.host.unanswered_bytes, self.intake.connections)
         step = self.shedder.step
         if step is not before:
             self.telemetry.changed(self.now(), "gives up", step.name.lower().replace("_", " "))
@@ -141,14 +141,14 @@
         """Lag, budgets, what is given up, counts; reads only."""
         fe, p = self.host.front_end, self.background.planner
         return {
-            "open triggers": self.host.owed,
+            "open triggers": self.host.unanswered,
             "held": sum(len(f.held) for f in fe.functions.values()),
             "orders and loads": sum(len(e.load_requests) for e in fe.executors.values()),
             "executors ready": len(fe.ready),
             "functions known": len(fe.functions),
             "limit of own triggers": round(fe.limit, 1),
             "share of late answers": round(fe.late, 3),
-            "bytes held": self.host.held_bytes,
+            "bytes held": self.host.unanswered_bytes,
             "clients' connections": self.intake.connections,
             "lag ms": round(p.lag_ms, 2),
             "gives up": self.shedder.step.name.lower().replace("_", " "),
--- a/petrelway/emulator/clients.py
+++ b/petrelway/emulator/clients.py
@@ -10,7 +10,8 @@
 from ..fakes.in_memory_network import World
 from ..fakes.retry_behaviour import Again, Manners
 from ..fakes.traffic import Asked, Traffic
-from ..gateway.dispatcher import Answer, Function
+from ..gateway.answers import Answer
+from ..gateway.function_spec import FunctionSpec
 from .executor_channel import Cable
 from .front_ends import Front
 from .network import Network
@@ -72,7 +73,7 @@
         self.leave = self.at.take(
             asked.request_class,
             asked.tenant,
-            Function(f.name, f.memory_mb, f.lanes, 0.0),
+            FunctionSpec(f.name, f.memory_mb, f.lanes, 0.0),
             f"{c.source}\n{self.id}",
             self.left_ms,
             asked.hint_ms,
@@ -91,14 +92,14 @@
             id=self.id,
             r=self.turn,
             fe=f"front-{self.front}",
-            o=answer.kind,
+            o=answer.completion.value,
             taken=True,
             ms=round(c.now() - self.asked_ms, 3),
             x=answer.executor,
             w=answer.warmth.label,
         )
         c.again(
-            self, c.manners.after_answer(answer.kind, answer.retry_ms, self.asked.request_class, self.turn)
+            self, c.manners.after_answer(answer.completion.value, answer.retry_ms, self.asked.request_class, self.turn)
         )
 
     def lost(self) -> None:
--- a/petrelway/emulator/executor_channel.py
+++ b/petrelway/emulator/executor_channel.py
@@ -10,9 +10,9 @@
 from ..fakes.executor_model import Work
 from ..fakes.in_memory_network import World
 from ..fakes.process_lifecycle import Life
-from ..gateway.attempt_ledger import Key
+from ..gateway.attempt_ledger import AttemptKey
 from ..gateway.backoff import Backoff
-from ..gateway.channel_base import NO_LOAD, LinkListener, LinkReports, Question
+from ..gateway.channel_base import NO_LOAD, ChannelListener, ChannelReports, QuestionKind
 from ..gateway.executor_channel import GREETING_MS, RETRY_LEAST_MS, RETRY_MOST_MS
 from ..routing.types import Outcome
 from .network import DIAL_MS, Network
@@ -144,7 +144,7 @@
             self._arrive(*self.inbox.popleft())
 
 
-class EmulatedLink(LinkReports):
+class EmulatedLink(ChannelReports):
     """One front end's link to one executor. Its arguments are those of front.links.Link; `connect` is the
     front end's place in the emulation, `port` the number of the executor's post."""
 
@@ -176,7 +176,7 @@
         clock,
         connect,
         random_source: random.Random,
-        listener: LinkListener,
+        listener: ChannelListener,
         log,
     ) -> None:
         self.executor, self.port, self.front_end, self.process = executor, port, front_end, process
@@ -184,16 +184,16 @@
         self.backoff: Backoff | None = None
         self.next_ms = 0.0  # no connect before
         self.wire: Wire | None = None
-        self.out: dict[Key, None] = {}
-        self.load_requests: dict[int, Question] = {}
-        self.dialling: dict[Key, None] = {}  # what ends as unreachable when the connect under way does
+        self.out: dict[AttemptKey, None] = {}
+        self.load_requests: dict[int, QuestionKind] = {}
+        self.dialling: dict[AttemptKey, None] = {}  # what ends as unreachable when the connect under way does
         self.closed = False
 
     # -- the host's side
 
     def send(
         self,
-        key: Key,
+        key: AttemptKey,
         mark: str,
         function: str,
         memory_mb: float,
@@ -220,7 +220,7 @@
         wire.say(wire.life.receive, wire, *key, mark, turn, function, memory_mb, lanes, request_class,
             tenant, remaining_ms, real_ms, io_ms)  # fmt: skip
 
-    def cancel_attempt(self, key: Key, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
+    def cancel_attempt(self, key: AttemptKey, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
         if key in self.dialling:
             self.dialling.pop(key)
             return Outcome.UNSENT
@@ -240,7 +240,7 @@
         wire = self._connected()
         if wire is None:
             return Outcome.UNREACHABLE
-        self.load_requests[id] = Question.LOAD
+        self.load_requests[id] = QuestionKind.LOAD
         wire.say(wire.life.load_requested, wire, id, function, replicas, memory_mb, lanes)
         return None
 
@@ -322,7 +322,7 @@
         if wire is self.wire:
             self.place.process.run(what, *args)
 
-    def ended(self, key: Key, outcome: int, warmth: int) -> None:
+    def ended(self, key: AttemptKey, outcome: int, warmth: int) -> None:
         if key in self.out:
             del self.out[key]
             if self.backoff is not None:
--- a/petrelway/emulator/front_ends.py
+++ b/petrelway/emulator/front_ends.py
@@ -11,8 +11,10 @@
 from ..fakes.endpoint_registry import Book
 from ..fakes.in_memory_network import Process, World
 from ..fakes.process_lifecycle import Life
+from ..gateway.answers import Answer
 from ..gateway.backoff import Backoff
-from ..gateway.dispatcher import Answer, Function, Host
+from ..gateway.dispatcher import Dispatcher
+from ..gateway.function_spec import FunctionSpec
 from ..gateway.registry_client import RETRY_LEAST_MS, RETRY_MOST_MS
 from ..gateway.service import decider, note_uses
 from ..routing.router import FrontEnd
@@ -106,7 +108,7 @@
         self.place, self.name, self.registry_up = place, told.name, registry_up
         self.random_source = random.Random(f"{told.seed}/{told.name}/links")
         fleet = found["fleet"]
-        self.host = Host(
+        self.host = Dispatcher(
             place.process,
             decider(kind, place.sim.now_s * 1e3, told.seed, found),
             told.name,
@@ -119,7 +121,7 @@
             place,
             self.random_source,
             log,
-            link=EmulatedLink,
+            make_channel=EmulatedLink,
         )
         self.following = Following(place, book, self)
 
@@ -127,7 +129,7 @@
         self,
         request_class: int,
         tenant: int,
-        function: Function,
+        function: FunctionSpec,
         mark: str,
         remaining_ms: float,
         hint_ms: float,
@@ -156,7 +158,7 @@
         """The process is dead at once; the other ends notice."""
         self.place.process.kill()
         self.following.leave()
-        for link in self.host.links.values():
+        for link in self.host.channels.values():
             link.killed()
 
 
--- a/petrelway/gateway/active_policy.py
+++ b/petrelway/gateway/active_policy.py
@@ -5,16 +5,16 @@
 from typing import Any, NamedTuple
 
 from ..routing.types import Capabilities, Idempotency, RequestClass, Scope, Tenant
-from .cloudevent_requests import Asks, Catalogue
-from .dispatcher import Function
+from .cloudevent_requests import CloudEventReader, FunctionCatalogue
+from .function_spec import FunctionSpec
 
 PLACES_BOUND = 10_000  # request classes, or tenants, that one process may have known
 
 
-class Terms(NamedTuple):
+class ActivePolicy(NamedTuple):
     """What requests are taken under from one turn on."""
 
-    asks: Asks
+    asks: CloudEventReader
     request_classes: list[RequestClass]
     tenants: list[Tenant]
     request_class_names: list[str]
@@ -28,7 +28,7 @@
     return Capabilities(told.attempts, told.hedging, told.cancel_attempt, False, False, told.longest_retry_ms)
 
 
-def make(found: dict[str, Any], before: Terms | None = None) -> Terms:
+def make(found: dict[str, Any], before: ActivePolicy | None = None) -> ActivePolicy:
     """From checked sections. A name keeps its index for as long as the process lives: requests that are open
     name request classes and tenants that may be dropped. Raises ValueError past PLACES_BOUND."""
     request_classes, places = (
@@ -48,17 +48,17 @@
         if len(some) > PLACES_BOUND:
             raise ValueError(f"{what}: found {len(some)} names since this process started; allowed: "
                              f"{PLACES_BOUND}; start it again")  # fmt: skip
-    functions = [Function(f.name, f.memory_mb, f.lanes, f.load_ms) for f in found["functions"]]
-    asks = Asks(
+    functions = [FunctionSpec(f.name, f.memory_mb, f.lanes, f.load_ms) for f in found["functions"]]
+    asks = CloudEventReader(
         {t.name: t.deadline_ms for t in found["tariffs"]}, [c.name for c in found["customers"]],
-        Catalogue(functions), places, names,
+        FunctionCatalogue(functions), places, names,
     )  # fmt: skip
     latency_objective_ms = {
         **(before.latency_objective_ms if before else {}),
         **{t.name: t.latency_objective_ms for t in found["tariffs"]},
     }
     longest_ms = max([before.longest_ms if before else 0.0, *(t.deadline_ms for t in found["tariffs"])])
-    return Terms(asks, request_classes, tenants, list(places), list(names), capabilities_of(found["permits"]), latency_objective_ms,
+    return ActivePolicy(asks, request_classes, tenants, list(places), list(names), capabilities_of(found["permits"]), latency_objective_ms,
                  longest_ms)  # fmt: skip
 
 
--- a/petrelway/gateway/attempt_ledger.py
+++ b/petrelway/gateway/attempt_ledger.py
@@ -11,10 +11,10 @@
 
 from ..routing.types import Outcome
 
-Key = tuple[int, int]  # request's serial, number of the attempt
+AttemptKey = tuple[int, int]  # request's serial, number of the attempt
 
 
-class Ledger:
+class AttemptLedger:
     """Attempts of one link: waiting here, or handed over. Each key ends exactly once.
 
     >>> ledger = Ledger(bound=2)
@@ -26,17 +26,17 @@
 
     def __init__(self, bound: int) -> None:
         self.bound = bound  # attempts that may wait here for a connection or for room in the buffer
-        self.waiting: OrderedDict[Key, None] = OrderedDict()
-        self.handed: dict[Key, None] = {}
+        self.waiting: OrderedDict[AttemptKey, None] = OrderedDict()
+        self.handed: dict[AttemptKey, None] = {}
 
-    def wait(self, key: Key) -> bool:
+    def wait(self, key: AttemptKey) -> bool:
         """Take one in; False if too many wait: it is UNSENT at once."""
         if len(self.waiting) >= self.bound:
             return False
         self.waiting[key] = None
         return True
 
-    def hand_over(self) -> Key | None:
+    def hand_over(self) -> AttemptKey | None:
         """The next one to write; from here on it may have run."""
         if not self.waiting:
             return None
@@ -44,11 +44,11 @@
         self.handed[key] = None
         return key
 
-    def ended(self, key: Key) -> bool:
+    def ended(self, key: AttemptKey) -> bool:
         """The executor's word on one; False if it is not out (a late, doubled or invented word)."""
         return self.handed.pop(key, self) is None
 
-    def give_up(self, key: Key, outcome: Outcome) -> tuple[bool, Outcome] | None:
+    def abandon(self, key: AttemptKey, outcome: Outcome) -> tuple[bool, Outcome] | None:
         """Its time is up or it is withdrawn: was it handed over, and its outcome; None if not out.
 
         One that still waited here is UNSENT, whatever the cause: no byte of it left.
@@ -59,7 +59,7 @@
             return True, outcome
         return None
 
-    def broke(self) -> list[tuple[Key, Outcome]]:
+    def broke(self) -> list[tuple[AttemptKey, Outcome]]:
         """The connection ended or never came up: all that was out, with what that proves of each."""
         ends = [(key, Outcome.RESET) for key in self.handed]
         ends += [(key, Outcome.UNREACHABLE) for key in self.waiting]
--- a/petrelway/gateway/channel_base.py
+++ b/petrelway/gateway/channel_base.py
@@ -11,7 +11,7 @@
 
 from ..routing.types import Outcome
 from ..wire.codec import Load
-from .attempt_ledger import Key
+from .attempt_ledger import AttemptKey
 from .connection_end_reasons import EndReason
 
 CLOGGED_MS = 2000.0  # a connection that takes no byte for so long is broken off
@@ -19,13 +19,13 @@
 NO_LOAD = Load()  # of what no executor told
 
 
-class LinkListener(Protocol):
+class ChannelListener(Protocol):
     """What a link tells its host. Times in ms."""
 
     def attempt_ended(
         self,
         executor: int,
-        key: Key,
+        key: AttemptKey,
         outcome: Outcome,
         warmth: int,
         crowd: int,
@@ -34,7 +34,7 @@
         body: bytes,
     ) -> None: ...
 
-    def left_ms(self, key: Key) -> float:
+    def left_ms(self, key: AttemptKey) -> float:
         """Of a attempt that waited here: the client's time left, 0 if it must not go out any more."""
         ...
 
@@ -43,35 +43,35 @@
     def probe_answered(self, executor: int, probe: int, outcome: Outcome, load: Load) -> None: ...
 
 
-class Question(Enum):
+class QuestionKind(Enum):
     """What else than a attempt an executor is asked."""
 
     LOAD = "load"
     PROBE = "probe"
 
 
-class LinkReports:
+class ChannelReports:
     """Ends that no executor answered."""
 
     __slots__ = ()
 
     executor: int
-    listener: LinkListener
+    listener: ChannelListener
 
-    def report_unanswered(self, key: Key, outcome: Outcome) -> None:
+    def report_unanswered(self, key: AttemptKey, outcome: Outcome) -> None:
         """A attempt ended without an answer."""
         self.listener.attempt_ended(self.executor, key, outcome, 0, 0, NO_LOAD, "", b"")
 
-    def report_reset(self, questions: Iterable[tuple[int, Question]]) -> None:
+    def report_reset(self, questions: Iterable[tuple[int, QuestionKind]]) -> None:
         """The connection broke under these questions, by their ids."""
         for id, question in questions:
-            if question is Question.LOAD:
+            if question is QuestionKind.LOAD:
                 self.listener.load_request_answered(self.executor, id, Outcome.RESET, 0)
             else:
                 self.listener.probe_answered(self.executor, id, Outcome.RESET, NO_LOAD)
 
 
-class SocketLinkReports(LinkReports):
+class SocketChannelReports(ChannelReports):
     """The same for a link on sockets: its outages in the log, and the end of waiting for a connection."""
 
     __slots__ = ()
@@ -104,7 +104,10 @@
             self.said_down = False
 
     def drain(
-        self, waiting: dict[Key, object], writable: Callable[[], bool], hand_over: Callable[[float], None]
+        self,
+        waiting: dict[AttemptKey, object],
+        writable: Callable[[], bool],
+        hand_over: Callable[[float], None],
     ) -> int:
         """What has waited goes out if it still may; how many may not. Danger: meanwhile the client may have
         left, its time be over, the executor drain, a mark against repeats have run out, a cold one's budget
--- a/petrelway/gateway/cloudevent_requests.py
+++ b/petrelway/gateway/cloudevent_requests.py
@@ -9,29 +9,29 @@
 from typing import NamedTuple
 
 from ..events.single import Event, EventError
-from .dispatcher import Function
+from .function_spec import FunctionSpec
 
 
-class Ask(NamedTuple):
+class ReceivedRequest(NamedTuple):
     request_class: int
     tenant: int
-    function: Function
+    function: FunctionSpec
     mark: str
     remaining_ms: float
     work_ms: float
     repeat: bool
 
 
-class Catalogue:
+class FunctionCatalogue:
     """The functions that may be called: by name, or by a pattern such as `station-*`, first match."""
 
-    def __init__(self, functions: Sequence[Function]) -> None:
+    def __init__(self, functions: Sequence[FunctionSpec]) -> None:
         self.exact = {f.name: f for f in functions if not set(f.name) & set("*?[")}
         self.patterns = [
             (re.compile(fnmatch.translate(f.name)), f) for f in functions if f.name not in self.exact
         ]
 
-    def find(self, name: str) -> Function | None:
+    def find(self, name: str) -> FunctionSpec | None:
         if (f := self.exact.get(name)) is not None:
             return f
         for pattern, f in self.patterns:
@@ -40,14 +40,14 @@
         return None
 
 
-class Asks:
+class CloudEventReader:
     """Reads asks from events, by the names that the settings give. Raises EventError (status 400 or 422)."""
 
     def __init__(
         self,
         request_classes: Mapping[str, float],
         tenants: Sequence[str],
-        catalogue: Catalogue,
+        catalogue: FunctionCatalogue,
         places: Mapping[str, int] | None = None,
         names: Mapping[str, int] | None = None,
     ) -> None:
@@ -59,7 +59,7 @@
         self.tenants = {name: names[name] if names else i for i, name in enumerate(tenants)}
         self.catalogue = catalogue
 
-    def read(self, event: Event) -> Ask:
+    def read(self, event: Event) -> ReceivedRequest:
         told = event.attributes
         name = told.get("tariff", "")
         if name not in self.request_classes:
@@ -83,7 +83,7 @@
         mark = f"{told['source']}\n{told['id']}"
         if len(mark) > 512:
             raise EventError(400, "id", f"{len(mark)} characters with source", "512 at most")
-        return Ask(
+        return ReceivedRequest(
             request_class,
             tenant,
             function,
--- a/petrelway/gateway/dispatcher.py
+++ b/petrelway/gateway/dispatcher.py
@@ -1,8 +1,8 @@
-"""The host: the only caller of the decision module, and the one that carries out what it decides.
+"""The dispatcher: the only caller of the routing core, and the one that carries out what it decides.
 
 Inputs of one reactor turn come first, then decisions are pulled until there is none. Outside ids become
-small indices here and are given back when the module releases them. A request's Deferred fires once, with an
-`Answer`; cancelling it tells the module that the client is gone.
+small indices here and are freed when the core releases them. A request's Deferred fires once, with an
+`Answer`; cancelling it says that the client has left.
 """
 
 from __future__ import annotations
@@ -10,12 +10,11 @@
 import random
 from collections import Counter
 from collections.abc import Callable
-from typing import NamedTuple, Protocol
 
 from twisted.internet import defer, interfaces
 
 from ..common.endpoint_entry import EndpointEntry
-from ..common.index_table import Ids
+from ..common.index_table import IndexTable
 from ..common.start_times import StartTimes
 from ..routing.router import FrontEnd
 from ..routing.types import (
@@ -30,116 +29,21 @@
     Warmth,
 )
 from ..wire import codec
-from .attempt_ledger import Key
+from .answers import Answer, Completion
+from .attempt_ledger import AttemptKey
 from .attempt_reasons import why_sent
-from .executor_channel import Link
+from .executor_channel import ExecutorChannel
+from .function_spec import FunctionSpec
+from .observers import RequestObserver
+from .pending_requests import AttemptInFlight, LoadRequestInFlight, PendingAnswer, PendingRequest
 
 STAGES = {"ready": Stage.READY, "draining": Stage.DRAINING, "gone": Stage.GONE}
-FAILURES_BOUND = 50  # decisions that may fail in one turn before all that is owed is broken off
-AGAIN_MS = 100.0  # and then the decisions are asked again
-SUCCEEDED, REJECTED, FAILED = "fulfilled", "nacked", "broken off"
+DECISION_FAILURES_BOUND = 50  # decisions that may fail in one turn before every unanswered request fails
+DECISION_RETRY_MS = 100.0  # and then decisions are pulled again
 
 
-class Answer(NamedTuple):
-    """The one final answer of a request; `retry_ms` goes with a reject, 0 for none."""
-
-    kind: str
-    retry_ms: float = 0.0
-    content_type: str = ""
-    body: bytes = b""
-    executor: str = ""
-    warmth: Warmth = Warmth.UNTOLD
-
-
-class Watch(Protocol):
-    """Who looks on. Times in ms; names as outside."""
-
-    def taken(
-        self, now: float, serial: int, mark: str, request_class: str, tenant: str, function: str
-    ) -> None: ...
-
-    def decided(self, now: float, serial: int, what: str, executor: str, detail: str) -> None: ...
-
-    def ended(self, now: float, serial: int, executor: str, zone: str, outcome: str, warmth: str) -> None: ...
-
-    def answered(self, now: float, serial: int, kind: str) -> None: ...
-
-    def released(self, serial: int) -> None: ...
-
-    def changed(self, now: float, what: str, detail: str) -> None: ...
-
-
-class Function(NamedTuple):
-    """What executors are told of a function; `load_ms` 0: untold."""
-
-    name: str
-    memory_mb: float
-    lanes: int
-    load_ms: float
-
-
-class Out:
-    """One attempt that is out."""
-
-    def __init__(self, executor: int, sent_ms: float) -> None:
-        self.executor, self.sent_ms = executor, sent_ms
-        self.timer = None
-
-
-class PendingAnswer(defer.Deferred):
-    """The one final answer of a request. Cancelled, it tells that the client has gone."""
-
-    def __init__(self, gone: Callable, given_up: Callable[[], None]) -> None:
-        super().__init__(gone)
-        self._given_up = given_up
-
-    def give_up(self) -> None:
-        """Ask for the final answer now, whatever is out: rejected if a repeat does no harm, else broken off."""
-        self._given_up()
-
-
-class Taken:
-    """One request, from the taking until the module releases it."""
-
-    def __init__(
-        self,
-        index: int,
-        serial: int,
-        mark: str,
-        request_class: str,
-        tenant: str,
-        function: Function,
-        deadline_ms: float,
-        work_ms: float,
-        content_type: str,
-        body: bytes,
-    ) -> None:
-        self.index, self.serial, self.mark = index, serial, mark
-        self.request_class, self.tenant, self.function = request_class, tenant, function
-        self.deadline_ms, self.work_ms, self.content_type, self.body = (
-            deadline_ms,
-            work_ms,
-            content_type,
-            body,
-        )
-        self.out: dict[int, Out] = {}
-        self.sent = 0
-        # None: answered, or its client has gone
-        self.answer: PendingAnswer | None = PendingAnswer(self._cancelled, self._gives_up)
-        self.gone: Callable[[Taken], None] | None = None
-        self.given_up: Callable[[Taken], None] | None = None
-
-    def _cancelled(self, _: defer.Deferred) -> None:
-        if self.gone is not None:
-            self.gone(self)
-
-    def _gives_up(self) -> None:
-        if self.given_up is not None and self.answer is not None:
-            self.given_up(self)
-
-
-class Host:
-    """One front end's host. Times in ms of the clock handed in."""
+class Dispatcher:
+    """Requests, executors and decisions of one front end. Times in ms of the clock handed in."""
 
     def __init__(
         self,
@@ -156,149 +60,190 @@
         random_source: random.Random,
         log,
         meter: Callable[[], float] | None = None,
-        link: Callable[..., Link] = Link,
+        make_channel: Callable[..., ExecutorChannel] = ExecutorChannel,
         unix_ahead_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """`link` makes the link to an executor, with Link's own arguments; another one in an emulation.
-        `unix_ahead_s`: how far the wall clock has been stepped ahead of `clock`."""
-        self.unix_ahead_s, self.starts = unix_ahead_s, StartTimes()
-        self.link = link
-        self.clock, self.front_end, self.name, self.process = clock, front_end, name, process
-        self.request_classes, self.tenants = request_classes, tenants
-        self.load_request_timeout_ms, self.connect, self.random_source, self.log = (
-            load_request_timeout_ms,
-            connect,
-            random_source,
-            log,
-        )
-        self.meter, self.deciding_s = meter, 0.0
-        self.requests, self.executors, self.functions = Ids(), Ids(), Ids()
-        self.zones, self.machines = Ids(), Ids()
-        for ids, names in ((self.zones, zones), (self.machines, machines)):
-            for each in names:
-                ids.enter(each)
-        self.taken: dict[int, Taken] = {}  # by index
-        self.links: dict[int, Link] = {}
-        self.known: dict[int, Function] = {}
-        self.load_requests: dict[
-            int, tuple[int, int, float, object]
-        ] = {}  # id -> executor, function, when, timer
-        self.serial = self.load_request_id = self.owed = 0
-        self.held_bytes = 0  # bodies of requests without a final answer
+        """`make_channel` makes the channel to an executor, with ExecutorChannel's own arguments; an emulation
+        hands in another. `unix_ahead_s`: how far the wall clock has been stepped ahead of `clock`."""
+        self.clock = clock
+        self.front_end = front_end
+        self.name = name
+        self.process = process
+        self.request_classes = request_classes
+        self.tenants = tenants
+        self.load_request_timeout_ms = load_request_timeout_ms
+        self.connect = connect
+        self.random_source = random_source
+        self.log = log
+        self.meter = meter
+        self.make_channel = make_channel
+        self.unix_ahead_s = unix_ahead_s
+        self.starts = StartTimes()
+        self.deciding_s = 0.0
+        self.requests = IndexTable()
+        self.executors = IndexTable()
+        self.functions = IndexTable()
+        self.zones = IndexTable()
+        self.machines = IndexTable()
+        for zone in zones:
+            self.zones.enter(zone)
+        for machine in machines:
+            self.machines.enter(machine)
+        self.pending: dict[int, PendingRequest] = {}  # by the request's index
+        self.channels: dict[int, ExecutorChannel] = {}  # by the executor's index
+        self.known_functions: dict[int, FunctionSpec] = {}  # by the function's index
+        self.load_requests: dict[int, LoadRequestInFlight] = {}  # by the id that executors are given
+        self.serial = 0
+        self.load_request_id = 0
+        self.unanswered = 0
+        self.unanswered_bytes = 0  # bodies of requests without a final answer
         self.counts: Counter[str] = Counter()
-        self.turn = self.wake = None
-        self.turning = False
+        self.turn_call: interfaces.IDelayedCall | None = None
+        self.wake_call: interfaces.IDelayedCall | None = None
+        self.in_turn = False
         self.turn_ms: float | None = None  # the present, while a turn goes on
         self.idle: defer.Deferred[None] | None = None
-        self.watch: Watch | None = None  # hears what passes; asks nothing
+        self.observer: RequestObserver | None = None
+        self.decision_handlers: dict[Verb, Callable[[Decision, float], None]] = {
+            Verb.SEND: self._carry_out_send,
+            Verb.WAKE: self._carry_out_wake,
+            Verb.REJECT: self._carry_out_reject,
+            Verb.FAIL: self._carry_out_fail,
+            Verb.CANCEL: self._carry_out_cancel,
+            Verb.PREFETCH: self._carry_out_prefetch,
+            Verb.UNLOAD: self._carry_out_unload,
+            Verb.PROBE: self._carry_out_probe,
+        }
 
     def now(self) -> float:
-        """The present; within a turn its beginning: what ends in it must not be later than what it decides.
-        Danger: with a present that moves on, a turn with much to look at again would never end."""
+        """Return the present in ms; within a turn its beginning.
+
+        What ends in a turn must not be later than what it decides: if the present moved on, a turn in which
+        much becomes due would never end."""
         return self.clock.seconds() * 1e3 if self.turn_ms is None else self.turn_ms
 
     # -- inputs
 
-    def terms_told(
-        self, request_classes: list[RequestClass], tenants: list[Tenant], names: list[str], tenant_names: list[str],
+    def policy_changed(
+        self,
+        request_classes: list[RequestClass],
+        tenants: list[Tenant],
+        request_class_names: list[str],
+        tenant_names: list[str],
         capabilities: Capabilities,
-    ) -> None:  # fmt: skip
-        """From now on requests are taken under these; indices keep their names."""
+    ) -> None:
+        """Take requests under these from now on; indices keep their names."""
         self.front_end.terms_told(self.now(), request_classes, tenants, capabilities)
-        self.request_classes, self.tenants = names, tenant_names
+        self.request_classes = request_class_names
+        self.tenants = tenant_names
 
     def take(
         self,
         request_class: int,
         tenant: int,
-        function: Function,
-        mark: str,
+        function: FunctionSpec,
+        idempotency_key: str,
         remaining_ms: float,
-        work_ms: float,
+        cost_estimate_ms: float,
         repeat: bool,
         content_type: str,
         body: bytes,
     ) -> PendingAnswer:
-        """Take a request; from now on it is owed one final answer, which the Deferred carries."""
+        """Accept a request; the Deferred carries the one final answer that it gets."""
         now = self.now()
-        known, new = self.functions.enter(function.name)
-        if new:
-            self.known[known] = function
-            self.front_end.function_named(
-                now, known, function.name, function.memory_mb, function.lanes, function.load_ms
-            )
+        function_index = self._function_index(function, now)
         self.serial += 1
         index, _ = self.requests.enter(self.serial)
-        t = Taken(
+        request = PendingRequest(
             index,
             self.serial,
-            mark,
+            idempotency_key,
             self.request_classes[request_class],
             self.tenants[tenant] if self.tenants else "",
             function,
             now + remaining_ms,
-            work_ms,
+            cost_estimate_ms,
             content_type,
             body,
+            self._client_left,
+            self._abandon,
         )
-        t.gone = self._client_gone
-        t.given_up = self._give_up
-        self.taken[index] = t
-        self.owed += 1
-        self.held_bytes += len(body)
+        self.pending[index] = request
+        self.unanswered += 1
+        self.unanswered_bytes += len(body)
         self.counts["taken"] += 1
-        answer = t.answer
-        if self.watch is not None:
-            self.watch.taken(now, self.serial, mark, t.request_class, t.tenant, function.name)
-        self.front_end.request_taken(now, index, request_class, tenant, known, remaining_ms, work_ms, repeat)
-        self._soon()
+        answer = request.answer
+        if self.observer is not None:
+            self.observer.taken(
+                now, self.serial, idempotency_key, request.request_class, request.tenant, function.name
+            )
+        self.front_end.request_taken(
+            now, index, request_class, tenant, function_index, remaining_ms, cost_estimate_ms, repeat
+        )
+        self._schedule_turn()
         return answer
 
-    def executors_listed(self, lines: list[EndpointEntry], complete: bool) -> None:
-        """The registry's word. A link is made for each executor that it names."""
-        self.look_at_wall_clock()
-        now, endpoints = self.now(), []
-        for line in lines:
-            if line.stage == "gone" and line.executor not in self.executors.index:
-                continue
-            index, new = self.executors.enter(line.executor)
-            started_ms = self.starts.own_ms(now, line.executor, line.started_ms)
-            if self.watch is not None:
-                self._note_change(now, index, line, started_ms)
-            endpoints.append(
-                Endpoint(
-                    index,
-                    line.executor,
-                    self.zones.enter(line.zone)[0],
-                    self.machines.enter(line.machine)[0],
-                    line.cell,
-                    STAGES[line.stage],
-                    line.weight,
-                    started_ms,
-                )
+    def _function_index(self, function: FunctionSpec, now: float) -> int:
+        """The function's index; the routing core hears of a new one first."""
+        index, new = self.functions.enter(function.name)
+        if new:
+            self.known_functions[index] = function
+            self.front_end.function_named(
+                now, index, function.name, function.memory_mb, function.lanes, function.load_ms
             )
-            if new:
-                self.links[index] = self.link(
-                    index,
-                    line.executor,
-                    line.address,
-                    line.port,
-                    self.name,
-                    self.process,
-                    self.clock,
-                    self.connect,
-                    self.random_source,
-                    self,
-                    self.log,
-                )
-            else:
-                self.links[index].moved(line.address, line.port)
-                self.links[index].restarted(line.started_ms, started_ms)
+        return index
+
+    def executors_listed(self, entries: list[EndpointEntry], complete: bool) -> None:
+        """Follow the registry's endpoint list; each executor that it names gets a channel."""
+        self.check_wall_clock()
+        now = self.now()
+        endpoints = []
+        for entry in entries:
+            if entry.stage == "gone" and entry.executor not in self.executors.index:
+                continue
+            endpoints.append(self._endpoint_listed(entry, now))
         self.front_end.executors_listed(now, endpoints, complete)
-        self._soon()
+        self._schedule_turn()
+
+    def _endpoint_listed(self, entry: EndpointEntry, now: float) -> Endpoint:
+        index, new = self.executors.enter(entry.executor)
+        started_ms = self.starts.own_ms(now, entry.executor, entry.started_ms)
+        if self.observer is not None:
+            self._report_change(now, index, entry, started_ms)
+        endpoint = Endpoint(
+            index,
+            entry.executor,
+            self.zones.enter(entry.zone)[0],
+            self.machines.enter(entry.machine)[0],
+            entry.cell,
+            STAGES[entry.stage],
+            entry.weight,
+            started_ms,
+        )
+        if new:
+            self.channels[index] = self._open_channel(index, entry)
+        else:
+            self.channels[index].moved(entry.address, entry.port)
+            self.channels[index].restarted(entry.started_ms, started_ms)
+        return endpoint
+
+    def _open_channel(self, index: int, entry: EndpointEntry) -> ExecutorChannel:
+        return self.make_channel(
+            index,
+            entry.executor,
+            entry.address,
+            entry.port,
+            self.name,
+            self.process,
+            self.clock,
+            self.connect,
+            self.random_source,
+            self,
+            self.log,
+        )
 
-    def look_at_wall_clock(self) -> None:
-        """After a step of it the start times that the list told mean other moments."""
+    def check_wall_clock(self) -> None:
+        """After a step of the wall clock, map the listed start times to this process's clock anew."""
         ahead_s = self.unix_ahead_s()
         if not self.starts.unix_ahead(ahead_s * 1e3):
             return
@@ -308,19 +253,19 @@
         for executor, started_ms in self.starts.all_own_ms().items():
             self.front_end.start_told(now, self.executors.index[executor], started_ms)
 
-    def _note_change(self, now: float, index: int, line: EndpointEntry, started_ms: float) -> None:
+    def _report_change(self, now: float, index: int, entry: EndpointEntry, started_ms: float) -> None:
         known = self.front_end.executors.get(index)
         if known is None:
-            self.watch.changed(now, "executor listed", f"{line.executor} {line.stage} in {line.zone}")
-        elif known.endpoint.stage is not STAGES[line.stage]:
-            self.watch.changed(now, f"executor {line.stage}", line.executor)
+            self.observer.changed(now, "executor listed", f"{entry.executor} {entry.stage} in {entry.zone}")
+        elif known.endpoint.stage is not STAGES[entry.stage]:
+            self.observer.changed(now, f"executor {entry.stage}", entry.executor)
         elif started_ms > known.endpoint.started_ms:
-            self.watch.changed(now, "executor restarted", line.executor)
+            self.observer.changed(now, "executor restarted", entry.executor)
 
     def attempt_ended(
         self,
         executor: int,
-        key: Key,
+        key: AttemptKey,
         outcome: Outcome,
         warmth: int,
         crowd: int,
@@ -328,99 +273,119 @@
         content_type: str,
         body: bytes,
     ) -> None:
+        """End an attempt with its outcome; one that has ended already is ignored."""
         serial, number = key
-        index = self.requests.index.get(serial, -1)
-        t = self.taken.get(index)
-        out = t.out.pop(number, None) if t is not None else None
-        if t is None or out is None:
+        request = self._request(serial)
+        attempt = request.in_flight.pop(number, None) if request is not None else None
+        if request is None or attempt is None:
             return
-        if out.timer is not None:
-            out.timer.cancel()
+        if attempt.timer is not None:
+            attempt.timer.cancel()
         self.counts[outcome.label] += 1
         if outcome is Outcome.SUCCEEDED:
-            self._answer(
-                t, Answer(SUCCEEDED, 0.0, content_type, body, self.executors.wire[executor], Warmth(warmth))
-            )
+            stable = self.executors.wire[executor]
+            answer = Answer(Completion.SUCCEEDED, 0.0, content_type, body, stable, Warmth(warmth))
+            self._answer(request, answer)
         now = self.now()
-        if self.watch is not None:
+        if self.observer is not None:
             name = self.executors.wire[executor]
             zone = self.zones.wire.get(self.front_end.executors[executor].endpoint.zone, "")
-            self.watch.ended(now, serial, name, zone, outcome.label, Warmth(warmth).label)
+            self.observer.ended(now, serial, name, zone, outcome.label, Warmth(warmth).label)
+        took_ms = now - attempt.sent_ms
         self.front_end.attempt_ended(
-            now, index, number, outcome, now - out.sent_ms, t.answer is None, Warmth(warmth)
+            now, request.index, number, outcome, took_ms, request.answer is None, Warmth(warmth)
         )
-        self._soon()
+        self._schedule_turn()
+
+    def _request(self, serial: int) -> PendingRequest | None:
+        return self.pending.get(self.requests.index.get(serial, -1))
 
-    def left_ms(self, key: Key) -> float:
-        """Of a attempt that waited for its connection: the client's time left, 0 if it must not go."""
+    def left_ms(self, key: AttemptKey) -> float:
+        """The client's time left for an attempt that waited for its connection, 0 if it must not go."""
         serial, number = key
-        index = self.requests.index.get(serial, -1)
-        t, now = self.taken.get(index), self.now()
-        if t is None or t.answer is None or number not in t.out or now >= t.deadline_ms:
+        request = self._request(serial)
+        now = self.now()
+        if request is None or request.answer is None or number not in request.in_flight:
             return 0.0
-        return t.deadline_ms - now if self.front_end.may_go(now, index, number) else 0.0
+        if now >= request.deadline_ms:
+            return 0.0
+        return request.deadline_ms - now if self.front_end.may_go(now, request.index, number) else 0.0
 
-    def load_request_answered(self, executor: int, order: int, outcome: Outcome, replicas: int) -> None:
-        if (found := self.load_requests.pop(order, None)) is None:
+    def load_request_answered(
+        self, executor: int, load_request_id: int, outcome: Outcome, replicas: int
+    ) -> None:
+        """End a load request with its outcome; one that has ended already is ignored."""
+        found = self.load_requests.pop(load_request_id, None)
+        if found is None:
             return
-        at, function, sent_ms, timer = found
-        if timer is not None and timer.active():
-            timer.cancel()
+        if found.timer is not None and found.timer.active():
+            found.timer.cancel()
         now = self.now()
         self.counts[f"order {outcome.label}"] += 1
-        self.front_end.load_request_answered(now, at, function, outcome, replicas, now - sent_ms)
-        self._soon()
+        self.front_end.load_request_answered(
+            now, found.executor, found.function, outcome, replicas, now - found.sent_ms
+        )
+        self._schedule_turn()
 
     def probe_answered(self, executor: int, probe: int, outcome: Outcome, load: codec.Load) -> None:
-        self.counts["probed"] += 1  # the module asks for none yet
+        """Count an answered health check; the routing core asks for none yet."""
+        self.counts["probed"] += 1
 
-    def _client_gone(self, t: Taken) -> None:
-        t.answer = None
+    def _client_left(self, request: PendingRequest) -> None:
+        self._forget_answer(request)
         self.counts["client gone"] += 1
-        self.held_bytes -= len(t.body)
-        t.body = b""
-        self._owe_less()
-        if self.watch is not None:
-            self.watch.answered(self.now(), t.serial, "gone")
-        self.front_end.client_gone(self.now(), t.index)
-        self._soon()
-
-    def _give_up(self, t: Taken) -> None:
+        self._count_answered()
+        if self.observer is not None:
+            self.observer.answered(self.now(), request.serial, "gone")
+        self.front_end.client_gone(self.now(), request.index)
+        self._schedule_turn()
+
+    def _forget_answer(self, request: PendingRequest) -> PendingAnswer | None:
+        """No answer is due any more; the body goes too, since late outcomes may be long in coming."""
+        answer = request.answer
+        request.answer = None
+        self.unanswered_bytes -= len(request.body)
+        request.body = b""
+        return answer
+
+    def _abandon(self, request: PendingRequest) -> None:
         self.counts["given up for its connection"] += 1
-        self.front_end.request_given_up(self.now(), t.index)
-        self._soon()
+        self.front_end.request_given_up(self.now(), request.index)
+        self._schedule_turn()
 
     # -- the turn
 
-    def _soon(self) -> None:
-        if self.turn is None and not self.turning:
-            self.turn = self.clock.callLater(0, self._turn)
+    def _schedule_turn(self) -> None:
+        if self.turn_call is None and not self.in_turn:
+            self.turn_call = self.clock.callLater(0, self._turn)
 
     def _woken(self) -> None:
-        """Danger: after a stall of this process a client's leaving, or an answer, lies unread: the sockets
-        are looked at once before anything is decided."""
-        self.wake = None
+        """Decide in a turn of its own: after a process pause a client's leaving, or an answer, lies unread,
+        and the sockets have to be read before anything is decided."""
+        self.wake_call = None
         self.front_end.time_passed(self.now())
-        self._soon()
+        self._schedule_turn()
 
     def _turn(self) -> None:
         """Pull decisions until there is none."""
-        if self.turn is not None and self.turn.active():
-            self.turn.cancel()
-        self.turn, self.turning = None, True
+        if self.turn_call is not None and self.turn_call.active():
+            self.turn_call.cancel()
+        self.turn_call = None
+        self.in_turn = True
         self.turn_ms = self.now()
         pulled = False
         try:
-            self._pull(self.turn_ms)
+            self._pull_decisions(self.turn_ms)
             pulled = True
         finally:
-            self.turning, self.turn_ms = False, None
-            if not pulled:  # danger: no turn would ever come again, and nobody get an answer
+            self.in_turn = False
+            self.turn_ms = None
+            if not pulled:  # without another turn nobody would get an answer any more
                 self.counts["turn failed"] += 1
-                self._soon()
+                self._schedule_turn()
         self._release()
 
-    def _pull(self, now: float) -> None:
+    def _pull_decisions(self, now: float) -> None:
         failures = 0
         while True:
             began = self.meter() if self.meter else 0.0
@@ -429,8 +394,8 @@
             except Exception as error:
                 failures += 1
                 if not self._decision_failed(error, failures):
-                    # danger: no wake was asked for: what is left would wait for ever
-                    self._wake_at(now + AGAIN_MS, now)
+                    # no wake-up was asked for: without this one what is left would wait for ever
+                    self._wake_at(now + DECISION_RETRY_MS, now)
                     return
                 continue
             finally:
@@ -441,179 +406,210 @@
             self._carry_out(decision, now)
 
     def _release(self) -> None:
-        """What the decisions have forgotten for good."""
+        """Free the indices of all that the routing core has forgotten for good."""
         free = self.front_end.released()
         for index in free.requests:
-            t = self.taken.pop(index)
-            if self.watch is not None:
-                self.watch.released(t.serial)
+            request = self.pending.pop(index)
+            if self.observer is not None:
+                self.observer.released(request.serial)
         for index in free.executors:
             self.starts.forget(self.executors.wire[index])
-            self.links.pop(index).close()
+            self.channels.pop(index).close()
         for index in free.functions:
-            del self.known[index]
+            del self.known_functions[index]
         self.requests.leave(free.requests)
         self.executors.leave(free.executors)
         self.functions.leave(free.functions)
 
     def _decision_failed(self, error: Exception, failures: int) -> bool:
-        """Danger: one request that the decisions cannot digest must not take the others with it."""
-        index = self.front_end.failed()
-        t = self.taken.get(index)
+        """Fail the request that the routing core cannot decide, so that it doesn't take the others with it.
+
+        Return False once too many have failed in this turn: then every unanswered request has failed."""
+        request = self.pending.get(self.front_end.failed())
         self.counts["decision failed"] += 1
+        self._log_decision_failure(error, request)
+        if request is not None:
+            self._answer(request, Answer(Completion.FAILED))
+            for number in sorted(request.in_flight):
+                self._cancel_attempt(request, number)
+        if failures < DECISION_FAILURES_BOUND:
+            return True
+        self.log.critical("decisions keep failing: all unanswered requests fail", failures=failures)
+        for other in list(self.pending.values()):
+            if other.answer is not None:
+                self._answer(other, Answer(Completion.FAILED))
+                self.front_end.client_gone(self.now(), other.index)
+        return False
+
+    def _log_decision_failure(self, error: Exception, request: PendingRequest | None) -> None:
         self.log.error(
             "decision failed",
             error=repr(error),
-            request=t.mark if t else "",
-            function=t.function.name if t else "",
-            request_class=t.request_class if t else "",
-            sent=t.sent if t else 0,
-            out=sorted(t.out) if t else [],
+            request=request.idempotency_key if request else "",
+            function=request.function.name if request else "",
+            request_class=request.request_class if request else "",
+            sent=request.sent if request else 0,
+            in_flight=sorted(request.in_flight) if request else [],
             exc_info=error,
         )
-        if t is not None:
-            self._answer(t, Answer(FAILED))
-            for number in sorted(t.out):
-                self._cancel_attempt(t, number)
-        if failures < FAILURES_BOUND:
-            return True
-        self.log.critical("decisions fail again and again: all that is owed is broken off", failures=failures)
-        for t in list(self.taken.values()):
-            if t.answer is not None:
-                self._answer(t, Answer(FAILED))
-                self.front_end.client_gone(self.now(), t.index)
-        return False
 
-    def _carry_out(self, d: Decision, now: float) -> None:
-        verb = d.verb
-        if self.watch is not None and d.request >= 0:
-            executor, why = self.executors.wire.get(d.executor, ""), ""
-            if verb is Verb.SEND:
-                why = why_sent(self.front_end, d.request, d.executor, self.taken[d.request].sent)
-            self.watch.decided(now, self.taken[d.request].serial, verb.value, executor, why)
-        if verb is Verb.SEND:
-            self._send(self.taken[d.request], d.executor, d.ms, now)
-        elif verb is Verb.WAKE:
-            self._wake_at(d.ms, now)
-        elif verb is Verb.REJECT:
-            self._answer(self.taken[d.request], Answer(REJECTED, d.ms))
-        elif verb is Verb.FAIL:
-            self._answer(self.taken[d.request], Answer(FAILED))
-        elif verb is Verb.CANCEL:
-            self._cancel_attempt(self.taken[d.request], d.number)
-        elif verb is Verb.PREFETCH:
-            self._order(d.executor, d.function, d.number, now)
-        elif verb is Verb.UNLOAD:
-            self.links[d.executor].unload(self.functions.wire[d.function])
-        elif verb is Verb.PROBE:
-            self.load_request_id += 1
-            self.links[d.executor].probe(self.load_request_id)
-        else:  # no way to the peers yet: counted, not silent
-            self.counts[f"not carried out: {verb.value}"] += 1
-
-    def _send(self, t: Taken, executor: int, limit_ms: float, now: float) -> None:
-        number, t.sent = t.sent, t.sent + 1
-        out = t.out[number] = Out(executor, now)
-        remaining_ms = t.deadline_ms - now
-        key, f = (t.serial, number), t.function
-        if remaining_ms <= 0.0 or t.answer is None:
+    # -- decisions
+
+    def _carry_out(self, decision: Decision, now: float) -> None:
+        if self.observer is not None and decision.request >= 0:
+            self._report_decision(decision, now)
+        handler = self.decision_handlers.get(decision.verb)
+        if handler is None:  # messages to peers are not carried yet: counted, not silent
+            self.counts[f"not carried out: {decision.verb.value}"] += 1
+            return
+        handler(decision, now)
+
+    def _report_decision(self, decision: Decision, now: float) -> None:
+        executor = self.executors.wire.get(decision.executor, "")
+        request = self.pending[decision.request]
+        reason = ""
+        if decision.verb is Verb.SEND:
+            reason = why_sent(self.front_end, decision.request, decision.executor, request.sent)
+        self.observer.decided(now, request.serial, decision.verb.value, executor, reason)
+
+    def _carry_out_send(self, decision: Decision, now: float) -> None:
+        self._send(self.pending[decision.request], decision.executor, decision.ms, now)
+
+    def _carry_out_wake(self, decision: Decision, now: float) -> None:
+        self._wake_at(decision.ms, now)
+
+    def _carry_out_reject(self, decision: Decision, now: float) -> None:
+        self._answer(self.pending[decision.request], Answer(Completion.REJECTED, decision.ms))
+
+    def _carry_out_fail(self, decision: Decision, now: float) -> None:
+        self._answer(self.pending[decision.request], Answer(Completion.FAILED))
+
+    def _carry_out_cancel(self, decision: Decision, now: float) -> None:
+        self._cancel_attempt(self.pending[decision.request], decision.number)
+
+    def _carry_out_prefetch(self, decision: Decision, now: float) -> None:
+        self._request_load(decision.executor, decision.function, decision.number, now)
+
+    def _carry_out_unload(self, decision: Decision, now: float) -> None:
+        self.channels[decision.executor].unload(self.functions.wire[decision.function])
+
+    def _carry_out_probe(self, decision: Decision, now: float) -> None:
+        self.load_request_id += 1
+        self.channels[decision.executor].probe(self.load_request_id)
+
+    def _send(self, request: PendingRequest, executor: int, limit_ms: float, now: float) -> None:
+        number = request.sent
+        request.sent += 1
+        attempt = request.in_flight[number] = AttemptInFlight(executor, now)
+        remaining_ms = request.deadline_ms - now
+        key = (request.serial, number)
+        if remaining_ms <= 0.0 or request.answer is None:
             self.attempt_ended(executor, key, Outcome.UNSENT, 0, 0, codec.Load(), "", b"")
             return
         wait_ms = min(limit_ms, remaining_ms) if limit_ms > 0.0 else remaining_ms
-        out.timer = self.clock.callLater(wait_ms / 1e3, self._time_out, t, number)
-        self.links[executor].send(
+        attempt.timer = self.clock.callLater(wait_ms / 1e3, self._attempt_timed_out, request, number)
+        function = request.function
+        self.channels[executor].send(
             key,
-            t.mark,
-            f.name,
-            f.memory_mb,
-            f.lanes,
-            t.request_class,
-            t.tenant,
+            request.idempotency_key,
+            function.name,
+            function.memory_mb,
+            function.lanes,
+            request.request_class,
+            request.tenant,
             remaining_ms,
-            t.work_ms,
-            t.content_type,
-            t.body,
+            request.cost_estimate_ms,
+            request.content_type,
+            request.body,
         )
 
-    def _time_out(self, t: Taken, number: int) -> None:
-        t.out[number].timer = None
-        self._cancel_attempt(t, number, Outcome.TIMEOUT)
+    def _attempt_timed_out(self, request: PendingRequest, number: int) -> None:
+        request.in_flight[number].timer = None
+        self._cancel_attempt(request, number, Outcome.TIMEOUT)
 
-    def _cancel_attempt(self, t: Taken, number: int, outcome: Outcome = Outcome.CANCELLED) -> None:
-        out = t.out.get(number)
-        if out is None:
+    def _cancel_attempt(
+        self, request: PendingRequest, number: int, outcome: Outcome = Outcome.CANCELLED
+    ) -> None:
+        attempt = request.in_flight.get(number)
+        if attempt is None:
             return
-        link = self.links.get(out.executor)
-        ended = link.cancel_attempt((t.serial, number), outcome) if link is not None else None
-        self.attempt_ended(out.executor, (t.serial, number), ended or outcome, 0, 0, codec.Load(), "", b"")
+        key = (request.serial, number)
+        channel = self.channels.get(attempt.executor)
+        ended = channel.cancel_attempt(key, outcome) if channel is not None else None
+        self.attempt_ended(attempt.executor, key, ended or outcome, 0, 0, codec.Load(), "", b"")
 
-    def _order(self, executor: int, function: int, replicas: int, now: float) -> None:
+    def _request_load(self, executor: int, function_index: int, replicas: int, now: float) -> None:
         self.load_request_id += 1
-        id, f = self.load_request_id, self.known[function]
-        self.load_requests[id] = executor, function, now, None
-        failed = self.links[executor].order(id, f.name, replicas, f.memory_mb, f.lanes)
+        load_request_id = self.load_request_id
+        function = self.known_functions[function_index]
+        load_request = LoadRequestInFlight(executor, function_index, now)
+        self.load_requests[load_request_id] = load_request
+        failed = self.channels[executor].order(
+            load_request_id, function.name, replicas, function.memory_mb, function.lanes
+        )
         if failed is not None:
-            self.load_request_answered(executor, id, failed, 0)
+            self.load_request_answered(executor, load_request_id, failed, 0)
             return
-        timer = self.clock.callLater(
-            self.load_request_timeout_ms / 1e3, self._load_request_timed_out, executor, id
+        load_request.timer = self.clock.callLater(
+            self.load_request_timeout_ms / 1e3, self._load_request_timed_out, executor, load_request_id
         )
-        self.load_requests[id] = executor, function, now, timer
-
-    def _load_request_timed_out(self, executor: int, id: int) -> None:
-        if (link := self.links.get(executor)) is not None:
-            link.forget_load_request(id)
-        self.load_request_answered(executor, id, Outcome.TIMEOUT, 0)
-
-    def _wake_at(self, ms: float, now: float) -> None:
-        if self.wake is not None and self.wake.active():
-            self.wake.cancel()
-        self.wake = self.clock.callLater(max(0.0, ms - now) / 1e3, self._woken)
-
-    def _answer(self, t: Taken, answer: Answer) -> None:
-        """The one place that fires a request's Deferred."""
-        deferred, t.answer = t.answer, None
-        if deferred is None:
+
+    def _load_request_timed_out(self, executor: int, load_request_id: int) -> None:
+        channel = self.channels.get(executor)
+        if channel is not None:
+            channel.forget_load_request(load_request_id)
+        self.load_request_answered(executor, load_request_id, Outcome.TIMEOUT, 0)
+
+    def _wake_at(self, wake_ms: float, now: float) -> None:
+        if self.wake_call is not None and self.wake_call.active():
+            self.wake_call.cancel()
+        self.wake_call = self.clock.callLater(max(0.0, wake_ms - now) / 1e3, self._woken)
+
+    def _answer(self, request: PendingRequest, answer: Answer) -> None:
+        """Fire a request's Deferred, once; nothing else does."""
+        if request.answer is None:
             return
-        self.held_bytes -= len(t.body)
-        t.body = b""  # a long wait for late outcomes must not hold it
-        self.counts[answer.kind] += 1
-        self._owe_less()
-        if self.watch is not None:
-            self.watch.answered(self.now(), t.serial, answer.kind)
+        deferred = self._forget_answer(request)
+        self.counts[answer.completion.value] += 1
+        self._count_answered()
+        if self.observer is not None:
+            self.observer.answered(self.now(), request.serial, answer.completion.value)
         deferred.callback(answer)
 
-    def _owe_less(self) -> None:
-        self.owed -= 1
-        if not self.owed and self.idle is not None:
-            idle, self.idle = self.idle, None
+    def _count_answered(self) -> None:
+        self.unanswered -= 1
+        if not self.unanswered and self.idle is not None:
+            idle = self.idle
+            self.idle = None
             idle.callback(None)
 
     # -- the end
 
-    def nothing_owed(self) -> defer.Deferred[None]:
-        """Fires when every request taken has its final answer; the intake must have stopped before."""
-        if not self.owed:
+    def all_answered(self) -> defer.Deferred[None]:
+        """Fire when every request has its final answer; the listener must have stopped before."""
+        if not self.unanswered:
             return defer.succeed(None)
         self.idle = self.idle or defer.Deferred()
         return self.idle
 
     def fail_all(self) -> None:
-        """What is owed past every outer limit gets its answer now."""
-        for t in list(self.taken.values()):
-            if t.answer is not None:
-                self._answer(t, Answer(FAILED))
+        """Fail every request that is unanswered past its deadline."""
+        for request in list(self.pending.values()):
+            if request.answer is not None:
+                self._answer(request, Answer(Completion.FAILED))
 
     def close(self) -> None:
-        """Withdraw what is out, leave all executors."""
+        """Cancel what is in flight and leave all executors."""
         self.fail_all()
-        for call in (self.turn, self.wake, *(order[3] for order in self.load_requests.values())):
+        load_timers = [load_request.timer for load_request in self.load_requests.values()]
+        for call in (self.turn_call, self.wake_call, *load_timers):
             if call is not None and call.active():
                 call.cancel()
-        self.turn = self.wake = None
-        self.turning = True  # no further turn
-        for t in list(self.taken.values()):
-            for number in sorted(t.out):
-                self._cancel_attempt(t, number)
-        for link in list(self.links.values()):
-            link.close()
+        self.turn_call = None
+        self.wake_call = None
+        self.in_turn = True  # no further turn
+        for request in list(self.pending.values()):
+            for number in sorted(request.in_flight):
+                self._cancel_attempt(request, number)
+        for channel in list(self.channels.values()):
+            channel.close()
--- a/petrelway/gateway/executor_channel.py
+++ b/petrelway/gateway/executor_channel.py
@@ -16,9 +16,9 @@
 from ..routing.types import Outcome
 from ..wire import codec
 from ..wire.framing import Frames, WireError
-from .attempt_ledger import Key, Ledger
+from .attempt_ledger import AttemptKey, AttemptLedger
 from .backoff import Backoff
-from .channel_base import BUFFER_BYTES, CLOGGED_MS, LinkListener, Question, SocketLinkReports
+from .channel_base import BUFFER_BYTES, CLOGGED_MS, ChannelListener, QuestionKind, SocketChannelReports
 from .connection_end_reasons import EndReason, failure_reason
 
 CONNECT_TIMEOUT_MS = 250.0  # a connection that is not up by then counts as unreachable
@@ -29,10 +29,10 @@
 
 
 @implementer(interfaces.IPushProducer)
-class WorkerProtocol(protocol.Protocol):
+class ExecutorProtocol(protocol.Protocol):
     """Bytes of one connection; as a push producer it hears when the transport's buffer is full."""
 
-    def __init__(self, link: Link) -> None:
+    def __init__(self, link: ExecutorChannel) -> None:
         self.link = link
         self.frames = Frames()
         self.paused = False
@@ -68,7 +68,7 @@
         self.paused = True
 
 
-class Link(SocketLinkReports):
+class ExecutorChannel(SocketChannelReports):
     """One executor's link, whatever connections it lives through."""
 
     def __init__(
@@ -82,17 +82,19 @@
         clock: interfaces.IReactorTime,
         connect: Callable,
         random_source: random.Random,
-        listener: LinkListener,
+        listener: ChannelListener,
         log,
     ) -> None:
         self.executor, self.stable, self.address, self.port = executor, stable, address, port
         self.front_end, self.process = front_end, process
         self.clock, self.connect, self.listener, self.log = clock, connect, listener, log
         self.backoff = Backoff(random_source, RETRY_LEAST_MS, RETRY_MOST_MS)
-        self.ledger = Ledger(WAITING_BOUND)
-        self.frames: dict[Key, Callable[[float], bytes]] = {}  # of the waiting ones, by the time left in ms
-        self.load_requests: dict[int, Question] = {}  # orders to load and probes handed over, by id
-        self.wire: WorkerProtocol | None = None
+        self.ledger = AttemptLedger(WAITING_BOUND)
+        self.frames: dict[
+            AttemptKey, Callable[[float], bytes]
+        ] = {}  # of the waiting ones, by the time left in ms
+        self.load_requests: dict[int, QuestionKind] = {}  # orders to load and probes handed over, by id
+        self.wire: ExecutorProtocol | None = None
         self.ready = False  # the executor has said who it is
         self.closed = False
         self.reason: EndReason | None = None  # why the last connection ended, if this side ended it ...
@@ -108,7 +110,7 @@
 
     def send(
         self,
-        key: Key,
+        key: AttemptKey,
         mark: str,
         function: str,
         memory_mb: float,
@@ -126,7 +128,7 @@
             return
         if self.wire is None and self.attempt is None:
             # between two tries: danger: holding it hides the outage
-            self.ledger.give_up(key, Outcome.UNSENT)
+            self.ledger.abandon(key, Outcome.UNSENT)
             self.report_unanswered(key, Outcome.UNREACHABLE)
             return
         self.frames[key] = lambda left_ms: codec.send(
@@ -152,9 +154,9 @@
         """The one that has waited longest."""
         self.wire.transport.write(self.frames.pop(self.ledger.hand_over())(left_ms))
 
-    def cancel_attempt(self, key: Key, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
+    def cancel_attempt(self, key: AttemptKey, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
         """Nobody waits any more: what it ended as, or None if it is not out here."""
-        given_up = self.ledger.give_up(key, outcome)
+        given_up = self.ledger.abandon(key, outcome)
         if given_up is None:
             return None
         handed, ended = given_up
@@ -165,13 +167,13 @@
 
     def order(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
         """An order to load; an outcome if it could not be handed over."""
-        return self._ask(id, Question.LOAD, codec.order(id, function, replicas, memory_mb, lanes))
+        return self._ask(id, QuestionKind.LOAD, codec.order(id, function, replicas, memory_mb, lanes))
 
     def probe(self, id: int) -> Outcome | None:
         """A probe; an outcome if it could not be handed over."""
-        return self._ask(id, Question.PROBE, codec.probe(id))
+        return self._ask(id, QuestionKind.PROBE, codec.probe(id))
 
-    def _ask(self, id: int, question: Question, frame: bytes) -> Outcome | None:
+    def _ask(self, id: int, question: QuestionKind, frame: bytes) -> Outcome | None:
         if self.wire is None or not self.ready:
             return Outcome.UNREACHABLE
         if self.wire.paused or len(self.load_requests) >= LOAD_REQUESTS_BOUND:
@@ -219,7 +221,7 @@
         if self.closed:
             return
         self.attempt = attempt = self.connect(
-            self.address, self.port, lambda: WorkerProtocol(self), CONNECT_TIMEOUT_MS
+            self.address, self.port, lambda: ExecutorProtocol(self), CONNECT_TIMEOUT_MS
         )
         attempt.addCallbacks(lambda _: None, self._refused)
 
@@ -228,7 +230,7 @@
         if not self.closed:
             self._down(failure_reason(failure))
 
-    def came_up(self, wire: WorkerProtocol) -> None:
+    def came_up(self, wire: ExecutorProtocol) -> None:
         self.attempt = None
         if self.closed:
             wire.transport.abortConnection()
@@ -268,17 +270,17 @@
             )
 
     def stood(self, id: int, outcome: int, replicas: int) -> None:
-        if self.load_requests.pop(id, None) is Question.LOAD:
+        if self.load_requests.pop(id, None) is QuestionKind.LOAD:
             self.listener.load_request_answered(self.executor, id, Outcome(outcome), replicas)
 
     def probed(self, id: int, load: codec.Load) -> None:
-        if self.load_requests.pop(id, None) is Question.PROBE:
+        if self.load_requests.pop(id, None) is QuestionKind.PROBE:
             self.listener.probe_answered(self.executor, id, Outcome.SUCCEEDED, load)
 
     def faulted(self, detail: str) -> None:
         self.reason, self.detail = EndReason.UNREADABLE, detail
 
-    def went_down(self, wire: WorkerProtocol, reason: Failure) -> None:
+    def went_down(self, wire: ExecutorProtocol, reason: Failure) -> None:
         if wire is not self.wire:
             return
         self.wire, self.ready = None, False
--- a/petrelway/gateway/http_listener.py
+++ b/petrelway/gateway/http_listener.py
@@ -16,8 +16,8 @@
 from twisted.web import resource, server
 
 from ..events.single import EventError, read
-from .cloudevent_requests import Ask, Asks
-from .dispatcher import FAILED, REJECTED, SUCCEEDED, Answer
+from .answers import Answer, Completion
+from .cloudevent_requests import CloudEventReader, ReceivedRequest
 
 BODY_BOUND = 1 << 18  # bytes of a request's body
 OPEN_BOUND = 20_000  # requests without a final answer; past it a request is rejected and not taken
@@ -25,10 +25,10 @@
 BUSY_RETRY_MS = 250.0  # the retry time of what was not taken for want of room
 LEAVING_RETRY_MS = 1000.0  # and of what came while this front end leaves
 IDLE_S = 60  # a connection that asks nothing for so long is closed
-STATUS = {SUCCEEDED: 200, REJECTED: 503, FAILED: 502}
+STATUS = {Completion.SUCCEEDED: 200, Completion.REJECTED: 503, Completion.FAILED: 502}
 
 
-class BoundedRequest(server.Request):
+class BodyBoundRequest(server.Request):
     """Danger: a body is collected before anyone looks at it; one over the bound is cut off here."""
 
     over = False
@@ -65,15 +65,15 @@
             super().requestReceived(command, path, version)
 
 
-class Intake(server.Site):
+class HttpListener(server.Site):
     """The HTTP side of one front end: listens, reads asks, hands them to `take`, writes answers."""
 
-    requestFactory = BoundedRequest
+    requestFactory = BodyBoundRequest
 
     def __init__(
         self,
-        asks: Asks,
-        take: Callable[[Ask, str, bytes], defer.Deferred[Answer]],
+        asks: CloudEventReader,
+        take: Callable[[ReceivedRequest, str, bytes], defer.Deferred[Answer]],
         owed: Callable[[], int],
         log,
         open_bound: int = OPEN_BOUND,
@@ -82,15 +82,17 @@
     ) -> None:
         self.asks, self.take, self.owed, self.logger = asks, take, owed, log
         self.open_bound, self.connections_bound = open_bound, connections_bound
-        self.guard: Callable[[Ask], float] = lambda ask: 0.0  # a retry time for what is not to be taken
+        self.guard: Callable[[ReceivedRequest], float] = lambda ask: (
+            0.0
+        )  # a retry time for what is not to be taken
         self.shut: Callable[[], float] = lambda: 0.0  # and for all, while nothing at all is taken
         self.terms: Callable[[], float] = lambda: 0.0  # and while it is not known under which terms
         self.leaving = False
         self.connections = 0
         self.counts: Counter[str] = Counter()
         root = resource.Resource()
-        root.putChild(b"triggers", Requests(self))
-        root.putChild(b"ready", Ready(self))
+        root.putChild(b"triggers", RequestResource(self))
+        root.putChild(b"ready", ReadinessResource(self))
         # danger: a body's type is the event's; read as a form, each POST costs a tenth of a request more
         super().__init__(
             root, timeout=IDLE_S, parsePOSTFormSubmission=False, **({"reactor": reactor} if reactor else {})
@@ -116,12 +118,12 @@
         self.counts[f"refused {status}"] += 1
 
 
-class Ready(resource.Resource):
+class ReadinessResource(resource.Resource):
     """GET: 200 while requests are taken, 503 with why not. What is given up under load is no reason."""
 
     isLeaf = True
 
-    def __init__(self, intake: Intake) -> None:
+    def __init__(self, intake: HttpListener) -> None:
         super().__init__()
         self.intake = intake
 
@@ -132,10 +134,10 @@
         return (why or "ready").encode() + b"\n"
 
 
-class Requests(resource.Resource):
+class RequestResource(resource.Resource):
     isLeaf = True
 
-    def __init__(self, intake: Intake) -> None:
+    def __init__(self, intake: HttpListener) -> None:
         super().__init__()
         self.intake = intake
 
@@ -174,10 +176,10 @@
     def _answered(self, answer: Answer, request: server.Request) -> None:
         if request._disconnected:
             return
-        request.setResponseCode(STATUS[answer.kind])
+        request.setResponseCode(STATUS[answer.completion])
         head = request.responseHeaders
-        head.setRawHeaders(b"petrelway-outcome", [answer.kind.encode()])
-        if answer.kind == SUCCEEDED:
+        head.setRawHeaders(b"petrelway-outcome", [answer.completion.encode()])
+        if answer.completion == Completion.SUCCEEDED:
             head.setRawHeaders(
                 b"content-type", [(answer.content_type or "application/octet-stream").encode()]
             )
@@ -186,9 +188,9 @@
             body = answer.body
         else:
             head.setRawHeaders(b"content-type", [b"application/problem+json"])
-            if answer.kind == REJECTED:
+            if answer.completion == Completion.REJECTED:
                 _retry(request, answer.retry_ms)
-            body = _REJECTED if answer.kind == REJECTED else _FAILED
+            body = _REJECTED if answer.completion == Completion.REJECTED else _FAILED
         head.setRawHeaders(b"content-length", [b"%d" % len(body)])
         request.write(body)
         request.finish()
@@ -198,12 +200,12 @@
             return  # the client is gone
         self.intake.logger.error("answer failed", error=failure.getErrorMessage())
         if not request._disconnected:
-            self._answered(Answer(FAILED), request)
+            self._answered(Answer(Completion.FAILED), request)
 
     def _reject_untaken(self, request: server.Request, retry_ms: float) -> bytes:
         self.intake.refused(503)
         request.setResponseCode(503)
-        request.setHeader(b"petrelway-outcome", REJECTED.encode())
+        request.setHeader(b"petrelway-outcome", Completion.REJECTED.encode())
         request.setHeader(b"petrelway-taken", b"no")
         request.setHeader(b"content-type", b"application/problem+json")
         _retry(request, retry_ms)
--- /dev/null
+++ b/petrelway/gateway/pending_requests.py
@@ -0,0 +1,77 @@
+"""What a dispatcher keeps of a request from its arrival until the routing core releases it.
+
+Besides the request itself: its attempts in flight, the Deferred that carries its answer, and load requests that
+wait for an executor's answer.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from twisted.internet import defer, interfaces
+
+from .function_spec import FunctionSpec
+
+
+@dataclass(slots=True)
+class AttemptInFlight:
+    """One attempt that has been sent and has not ended."""
+
+    executor: int
+    sent_ms: float
+    timer: interfaces.IDelayedCall | None = None
+
+
+@dataclass(slots=True)
+class LoadRequestInFlight:
+    """A load request that its executor has not answered."""
+
+    executor: int
+    function: int
+    sent_ms: float
+    timer: interfaces.IDelayedCall | None = None
+
+
+class PendingAnswer(defer.Deferred):
+    """The one final answer of a request. Cancelling it says that the client has left."""
+
+    def __init__(self, on_cancel: Callable[[defer.Deferred], None], on_abandon: Callable[[], None]) -> None:
+        """`on_cancel` is the Deferred's canceller; `on_abandon` asks for an answer now."""
+        super().__init__(on_cancel)
+        self._on_abandon = on_abandon
+
+    def abandon(self) -> None:
+        """Ask for the final answer now, whatever is in flight: rejected if a repeat is safe, else failed."""
+        self._on_abandon()
+
+
+@dataclass(eq=False, slots=True)
+class PendingRequest:
+    """One request, from its arrival until the routing core releases its index."""
+
+    index: int
+    serial: int
+    idempotency_key: str
+    request_class: str
+    tenant: str
+    function: FunctionSpec
+    deadline_ms: float
+    cost_estimate_ms: float
+    content_type: str
+    body: bytes
+    on_cancel: Callable[[PendingRequest], None]
+    on_abandon: Callable[[PendingRequest], None]
+    in_flight: dict[int, AttemptInFlight] = field(default_factory=dict)  # by number of the attempt
+    sent: int = 0  # attempts so far
+    answer: PendingAnswer | None = field(init=False)  # None: answered, or its client has left
+
+    def __post_init__(self) -> None:
+        self.answer = PendingAnswer(self._cancelled, self._abandoned)
+
+    def _cancelled(self, _: defer.Deferred) -> None:
+        self.on_cancel(self)
+
+    def _abandoned(self) -> None:
+        if self.answer is not None:
+            self.on_abandon(self)
--- a/petrelway/gateway/registry_client.py
+++ b/petrelway/gateway/registry_client.py
@@ -17,7 +17,7 @@
 
 
 class RegistryProtocol(protocol.Protocol):
-    def __init__(self, follower: Follower) -> None:
+    def __init__(self, follower: RegistryClient) -> None:
         self.follower = follower
         self.frames = Frames()
 
@@ -36,7 +36,7 @@
         self.follower.went_down(reason)
 
 
-class Follower:
+class RegistryClient:
     """Keeps the host's list of executors as near to the registry's as the registry lets it."""
 
     def __init__(
--- a/petrelway/gateway/service.py
+++ b/petrelway/gateway/service.py
@@ -15,11 +15,12 @@
 from ..routing.types import ColdRule, Keeping, LoadRation, Place
 from ..sockets.listening import listen_tcp
 from . import active_policy as terms
-from .cloudevent_requests import Ask
-from .dispatcher import Answer, Host
-from .http_listener import Intake
+from .answers import Answer
+from .cloudevent_requests import ReceivedRequest
+from .dispatcher import Dispatcher
+from .http_listener import HttpListener
 from .outgoing_connections import connector
-from .registry_client import Follower
+from .registry_client import RegistryClient
 
 BACKLOG = 512  # connections that wait in the system's queue
 CLOCK_LOOK_S = 1.0  # the wall clock is looked at this often
@@ -96,7 +97,7 @@
         random_source = random.Random(f"{place.seed}/{place.name}/links")
         now = self.reactor.seconds() * 1e3
         self.made = terms.make(found)
-        self.host = Host(
+        self.host = Dispatcher(
             self.reactor,
             decider(self.kind, now, place.seed, found),
             place.name,
@@ -114,13 +115,13 @@
         )
         if "peers" in found:
             self._join(found["peers"], place.name)
-        self.intake = Intake(self.made.asks, self._take, lambda: self.host.owed, self.log)
+        self.intake = HttpListener(self.made.asks, self._take, lambda: self.host.unanswered, self.log)
         if self.policy is not None:
             self.intake.terms = self.policy.look
         listen = found["listen"]
         self.port = listen_tcp(self.reactor, listen.port, self.intake, BACKLOG, listen.address, self.log)
         registry = found["roster"]
-        self.follower = Follower(
+        self.follower = RegistryClient(
             place.name,
             process,
             registry.address,
@@ -191,16 +192,16 @@
     def _adopted(self, told) -> None:
         """One assignment for each part, in one turn, after all that can fail has been done."""
         made = self.made = told.made[0]
-        self.host.terms_told(
+        self.host.policy_changed(
             made.request_classes, made.tenants, made.request_class_names, made.tenant_names, made.capabilities
         )
         self.intake.asks = made.asks
 
     def _watch_clock(self) -> None:
-        self.host.look_at_wall_clock()
+        self.host.check_wall_clock()
         self.clock_watch = self.reactor.callLater(CLOCK_LOOK_S, self._watch_clock)
 
-    def _take(self, ask: Ask, content_type: str, body: bytes) -> defer.Deferred[Answer]:
+    def _take(self, ask: ReceivedRequest, content_type: str, body: bytes) -> defer.Deferred[Answer]:
         if self.policy is not None and self.note is not None:
             under = self.policy.terms
             self.note("took", fe=self.found["front_end"].name, version=under.version, digest=under.digest,
@@ -221,19 +222,19 @@
     def stopService(self):
         """Stops the intake, answers what is owed, leaves. The Deferred fires when all is done."""
         super().stopService()
-        owed = self.host.owed
+        owed = self.host.unanswered
         self.log.info("front end leaves", owed=owed)
         self.intake.leaving = True  # connections that are kept open get rejects
         yield defer.maybeDeferred(self.port.stopListening)
         if self.policy is not None:
             self.policy.leaving()
-        wait = self.host.nothing_owed()
+        wait = self.host.all_answered()
         longest = self.made.longest_ms + LEAVE_SLACK_MS
         timer = self.reactor.callLater(longest / 1e3, wait.cancel)
         try:
             yield wait
         except defer.CancelledError:
-            self.log.error("answers owed past every outer limit", owed=self.host.owed)
+            self.log.error("answers owed past every outer limit", owed=self.host.unanswered)
         finally:
             if timer.active():
                 timer.cancel()
--- a/petrelway/node/client_listener.py
+++ b/petrelway/node/client_listener.py
@@ -12,7 +12,8 @@
 from twisted.internet import defer, interfaces, protocol
 from twisted.python.failure import Failure
 
-from ..gateway.dispatcher import REJECTED, SUCCEEDED, Answer, PendingAnswer
+from ..gateway.answers import Answer, Completion
+from ..gateway.pending_requests import PendingAnswer
 from ..platform import client_codec as lines
 from ..platform.client_codec import ClientLineError
 from ..platform.opaque_request import Passed
@@ -181,9 +182,9 @@
         self._ended(number)
         if self.state.phase is Phase.CLOSED:
             return
-        if answer.kind == SUCCEEDED:
+        if answer.completion == Completion.SUCCEEDED:
             self.transport.write(lines.succeeded(number, answer.body))
-        elif answer.kind == REJECTED:
+        elif answer.completion == Completion.REJECTED:
             self.transport.write(lines.rejected(number, answer.retry_ms))
         else:
             self.transport.write(lines.failed(number))
@@ -237,7 +238,7 @@
             self.transport.resumeProducing()  # its close is heard, the rest is dropped
         if self.state.end(reason):
             for answer in list(self.answers.values()):
-                answer.give_up()
+                answer.abandon()
         self._close_if_settled()
 
     def _close_if_settled(self) -> None:
--- a/petrelway/node/executor_pool.py
+++ b/petrelway/node/executor_pool.py
@@ -16,15 +16,15 @@
 from twisted.internet import interfaces, protocol
 from twisted.python.failure import Failure
 
-from ..gateway.attempt_ledger import Key, Ledger
+from ..gateway.attempt_ledger import AttemptKey, AttemptLedger
 from ..gateway.backoff import Backoff
 from ..gateway.channel_base import (
     BUFFER_BYTES,
     CLOGGED_MS,
     NO_LOAD,
-    LinkListener,
-    Question,
-    SocketLinkReports,
+    ChannelListener,
+    QuestionKind,
+    SocketChannelReports,
 )
 from ..gateway.connection_end_reasons import EndReason, failure_reason
 from ..platform import executor_codec as frames
@@ -60,11 +60,11 @@
 
     def __init__(self, link: PlatformLink, now: float) -> None:
         self.link = link
-        self.ledger = Ledger(link.streams)
+        self.ledger = AttemptLedger(link.streams)
         self.frames = frames.Frames(self)
-        self.waiting: dict[Key, Passed] = {}  # not handed over
-        self.open: dict[bytes, Key] = {}  # ids of what is out here
-        self.asked: dict[bytes, tuple[int, Question]] = {}  # out here, by the id on the wire
+        self.waiting: dict[AttemptKey, Passed] = {}  # not handed over
+        self.open: dict[bytes, AttemptKey] = {}  # ids of what is out here
+        self.asked: dict[bytes, tuple[int, QuestionKind]] = {}  # out here, by the id on the wire
         self.given_up: dict[bytes, None] = {}  # ids that must not be used here again
         self.up = self.paused = self.spent = self.lost = False  # spent: takes nothing new
         self.looked = False  # found clogged once
@@ -139,7 +139,7 @@
             del self.open[id], link.where[key]
             self.used_ms = self.heard_ms
             link.listener.attempt_ended(link.executor, key, outcome, warmth, crowd, NO_LOAD, "", body)
-        elif (asked := self.asked.pop(id, None)) is not None and asked[1] is Question.LOAD:
+        elif (asked := self.asked.pop(id, None)) is not None and asked[1] is QuestionKind.LOAD:
             link.listener.load_request_answered(link.executor, asked[0], outcome, replicas)
         else:  # danger: a late word on one attempt must never end another
             link.room.counts["late answers" if id in self.given_up else "answers to no question"] += 1
@@ -158,7 +158,7 @@
     def knows(self, id: bytes) -> bool:
         return id in self.open or id in self.given_up or id in self.asked
 
-    def take(self, key: Key, id: bytes, passed: Passed, remaining_ms: float) -> None:
+    def take(self, key: AttemptKey, id: bytes, passed: Passed, remaining_ms: float) -> None:
         self.ledger.wait(key)
         self.waiting[key], self.open[id] = passed, key
         if self.up and not self.paused and len(self.waiting) == 1:
@@ -170,7 +170,7 @@
         self.used_ms = self.link.now()
         self.transport.write(frames.send(self.waiting.pop(key), remaining_ms))
 
-    def give_up(self, id: bytes) -> None:
+    def abandon(self, id: bytes) -> None:
         """Danger: a late word on it would be taken for one on a later attempt under the same id."""
         self.given_up[id] = None
         self.spent = self.spent or len(self.given_up) >= GIVEN_UP_BOUND
@@ -190,7 +190,7 @@
         return self.up and not self.paused and not self.lost
 
 
-class PlatformLink(SocketLinkReports):
+class PlatformLink(SocketChannelReports):
     """One executor's link. Takes the arguments of front.links.Link, then its own."""
 
     def __init__(
@@ -204,7 +204,7 @@
         clock: interfaces.IReactorTime,
         connect: Callable,
         random_source: random.Random,
-        listener: LinkListener,
+        listener: ChannelListener,
         log,
         room: Room,
         streams: int,
@@ -224,7 +224,7 @@
         self.spare_not_before_ms = 0.0  # none ahead of need before this
         self.said_reasons = set[EndReason]()
         self.wires: list[Wire] = []
-        self.where: dict[Key, tuple[Wire, bytes, float]] = {}  # the id there, and since when
+        self.where: dict[AttemptKey, tuple[Wire, bytes, float]] = {}  # the id there, and since when
         self.closed = self.left = self.said_down = False
         self.timer = clock.callLater(0, self._sweep)
 
@@ -235,7 +235,7 @@
 
     def send(
         self,
-        key: Key,
+        key: AttemptKey,
         mark: str,
         function: str,
         memory_mb: float,
@@ -277,16 +277,16 @@
             return None if wire.lost else wire
         return shared
 
-    def cancel_attempt(self, key: Key, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
+    def cancel_attempt(self, key: AttemptKey, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
         """Nobody waits any more: what it ended as, or None if it is not out here."""
         if key not in self.where:
             return None
         wire, id, since_ms = self.where.pop(key)
-        handed, ended = wire.ledger.give_up(key, outcome)
+        handed, ended = wire.ledger.abandon(key, outcome)
         wire.waiting.pop(key, None)
         del wire.open[id]
         if handed:
-            wire.give_up(id)
+            wire.abandon(id)
             if self.cancels:
                 wire.transport.write(frames.cancel_attempt(id))
             self._doubt(max(since_ms, wire.up_ms))
@@ -305,13 +305,13 @@
 
     def order(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
         """An order to load; an outcome if it could not be handed over."""
-        return self._ask(id, Question.LOAD, lambda own: frames.order(own, function, replicas))
+        return self._ask(id, QuestionKind.LOAD, lambda own: frames.order(own, function, replicas))
 
     def probe(self, id: int) -> Outcome | None:
         """A probe; an outcome if it could not be handed over."""
-        return self._ask(id, Question.PROBE, frames.probe)
+        return self._ask(id, QuestionKind.PROBE, frames.probe)
 
-    def _ask(self, id: int, question: Question, frame: Callable[[bytes], bytes]) -> Outcome | None:
+    def _ask(self, id: int, question: QuestionKind, frame: Callable[[bytes], bytes]) -> Outcome | None:
         wire = self._ready()
         if wire is None:
             return Outcome.UNSENT if any(w.up for w in self.wires) else Outcome.UNREACHABLE
@@ -339,7 +339,7 @@
             for own, (asked, _) in wire.asked.items():
                 if asked == id:
                     del wire.asked[own]
-                    wire.give_up(own)
+                    wire.abandon(own)
                     wire.tidy()
                     return True
         return False
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -15,8 +15,10 @@
 
 from ..common.endpoint_entry import EndpointEntry
 from ..daemon.shedding import Shedder
-from ..gateway.dispatcher import Function, Host, PendingAnswer
+from ..gateway.dispatcher import Dispatcher
+from ..gateway.function_spec import FunctionSpec
 from ..gateway.outgoing_connections import connector
+from ..gateway.pending_requests import PendingAnswer
 from ..membership.service import FleetService, Listed, new_token
 from ..platform.client_codec import Asks
 from ..platform.configuration import Told, read_peers, read_told
@@ -97,7 +99,7 @@
         # danger: under few descriptors the share is less than the third that clients may hold
         clients = max(int(CLIENTS_SHARE * (sockets - OWN_DESCRIPTORS)), sockets // 3 + 1)
         self.room = Room(sockets - OWN_DESCRIPTORS - clients)
-        self.host = Host(
+        self.host = Dispatcher(
             self.reactor,
             terms.front_end(self.now(), told.seed),
             told.name,
@@ -110,7 +112,7 @@
             self.connect,
             random_source,
             self.log,
-            link=self._link,
+            make_channel=self._link,
             unix_ahead_s=self.unix_ahead_s,
         )
         portions = [c.portion for c in terms.tenants]
@@ -152,7 +154,7 @@
             port=told.port,
             sockets=sockets,
             memory_mb=told.memory_mb,
-            executors=len(self.host.links),
+            executors=len(self.host.channels),
         )
 
     def meet(self) -> None:
@@ -188,7 +190,7 @@
         host.executors_listed(lines, complete)
         named = {line.executor: line for line in lines}
         at = {(line.address, line.port): line.executor for line in lines if line.stage != "gone"}
-        for link in host.links.values():
+        for link in host.channels.values():
             line = named.get(link.stable)
             gone = line.stage == "gone" if line is not None else complete
             # danger: a new executor at the same address would be taken for the one that has gone
@@ -216,7 +218,7 @@
     ) -> PendingAnswer:
         """Danger: the client's time runs from its last byte; what lay unread here is gone already."""
         remaining_ms = max(1.0, remaining_ms - self.lag_ms - WRITE_ROOM_MS)
-        function = Function(passed.function, memory_mb, lanes or 1, load_ms)
+        function = FunctionSpec(passed.function, memory_mb, lanes or 1, load_ms)
         return self.host.take(
             request_class, tenant, function, passed.call.hex(), remaining_ms, work_ms, False, "", passed
         )
@@ -231,8 +233,8 @@
     def _beat(self, due_ms: float) -> None:
         now = self.now()
         self.lag_ms += LAG_GAIN * (max(0.0, now - due_ms) - self.lag_ms)
-        self.host.look_at_wall_clock()
-        self.shedder.seen(self.lag_ms, self.host.owed, self.host.held_bytes, len(self.door.callers))
+        self.host.check_wall_clock()
+        self.shedder.seen(self.lag_ms, self.host.unanswered, self.host.unanswered_bytes, len(self.door.callers))
         self.pulse = self.reactor.callLater(PULSE_MS / 1e3, self._beat, now + PULSE_MS)
 
     # -- signals
@@ -286,7 +288,7 @@
         super().stopService()
         self.stopping = True
         host = self.host
-        self.log.info("front end leaves", owed=host.owed)
+        self.log.info("front end leaves", owed=host.unanswered)
         yield self._pause(OPEN_MS)
         # danger: after a stall clients still wait to be accepted, and their requests to be read: the sockets
         # are looked at twice before the listener closes
@@ -297,8 +299,8 @@
         yield defer.maybeDeferred(self.port.stopListening)
         self.door.leave()
         longest_ms = max(t.deadline_ms for t in self.told.terms.request_classes) + LEAVE_SLACK_MS
-        if not (yield self._in_time(host.nothing_owed(), longest_ms)):
-            self.log.error("answers owed past every outer limit", owed=host.owed)
+        if not (yield self._in_time(host.all_answered(), longest_ms)):
+            self.log.error("answers owed past every outer limit", owed=host.unanswered)
             host.fail_all()
         # danger: what still lies in a transport when the process ends never reaches its client
         if not (yield self._in_time(self.door.all_gone(), FLUSH_MS)):
--- a/petrelway/platform/configuration.py
+++ b/petrelway/platform/configuration.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..common.deployment_settings import DeploymentSettingsError, Terms, read_terms
+from ..common.deployment_settings import DeploymentSettings, DeploymentSettingsError, read_deployment_settings
 from .errors import ProtocolError
 
 SOCKETS_LEAST = 64  # fewer descriptors leave no room for clients and executors
@@ -23,7 +23,7 @@
     memory_mb: float
     bus: tuple[str, int]
     known: Any
-    terms: Terms
+    terms: DeploymentSettings
 
 
 def read_told(data: bytes) -> Told:
@@ -44,7 +44,7 @@
     if sockets < SOCKETS_LEAST:
         raise ProtocolError(f"limits.sockets: found {sockets:g}; allowed: {SOCKETS_LEAST} or more")
     try:
-        terms = read_terms(told.get("settings"))
+        terms = read_deployment_settings(told.get("settings"))
     except DeploymentSettingsError as fault:
         raise ProtocolError(str(fault)) from fault
     return Told(
@@ -66,13 +66,13 @@
     Raises ProtocolError. Of bytes that `read_told` has read.
     """
     told = msgspec.json.decode(data)
-    if not read_terms(told.get("settings")).capabilities.tell:
+    if not read_deployment_settings(told.get("settings")).capabilities.tell:
         return None
     peers = told.get("peers")
     if type(peers) is not list or not peers:
         raise ProtocolError(f"peers: found {peers!r}; allowed: a list of addresses")
     found = [_endpoint({"peers": peer}, "peers") for peer in peers]
-    number = read_terms(told.get("settings")).place.number
+    number = read_deployment_settings(told.get("settings")).place.number
     if number >= len(found) or len(set(found)) < len(found):
         raise ProtocolError(f"peers: found {len(found)} addresses; allowed: one of its own for each number")
     return _endpoint(told, "peer_listen"), found, number
--- a/petrelway/simulator_adapter/codec.py
+++ b/petrelway/simulator_adapter/codec.py
@@ -4,8 +4,8 @@
 
 from base64 import b64encode
 
-from ..common.deployment_settings import DeploymentSettingsError, read_terms
-from ..common.index_table import Ids
+from ..common.deployment_settings import DeploymentSettingsError, read_deployment_settings
+from ..common.index_table import IndexTable
 from ..routing.types import Decision, Endpoint, Outcome, Stage, Verb, Warmth
 
 STAGES = {"active": Stage.READY, "leaving": Stage.DRAINING, "left": Stage.GONE}
@@ -31,9 +31,9 @@
 
     def __init__(self, name: str, now: float, seed: int, told: dict) -> None:
         self.name = name
-        self.requests, self.executors, self.functions = Ids(), Ids(), Ids()
+        self.requests, self.executors, self.functions = IndexTable(), IndexTable(), IndexTable()
         try:
-            self.front_end = read_terms(told).front_end(now, seed)
+            self.front_end = read_deployment_settings(told).front_end(now, seed)
         except DeploymentSettingsError as fault:
             raise WireError(f"begin of {name}: {fault}") from fault
 
--- a/tests/compatibility/forms_intake.py
+++ b/tests/compatibility/forms_intake.py
@@ -8,16 +8,17 @@
 from twisted.internet.testing import StringTransport
 from wire_form_cases import Recorder, plain
 
-from petrelway.gateway.cloudevent_requests import Ask, Asks, Catalogue
-from petrelway.gateway.dispatcher import FAILED, REJECTED, SUCCEEDED, Answer, Function
-from petrelway.gateway.http_listener import Intake
+from petrelway.gateway.answers import Answer, Completion
+from petrelway.gateway.cloudevent_requests import CloudEventReader, FunctionCatalogue, ReceivedRequest
+from petrelway.gateway.function_spec import FunctionSpec
+from petrelway.gateway.http_listener import HttpListener
 from petrelway.routing.types import Warmth
 
 TOPIC = "intake"
-ASKS = Asks(
+ASKS = CloudEventReader(
     {"t": 3000.0, "u": 6000.0},
     ["north", "south"],
-    Catalogue([Function("f", 100.0, 2, 0.0), Function("station-*", 50.0, 4, 250.0)]),
+    FunctionCatalogue([FunctionSpec("f", 100.0, 2, 0.0), FunctionSpec("station-*", 50.0, 4, 250.0)]),
 )
 REQUEST = (
     "POST /triggers HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\nce-specversion: 1.0\r\nce-id: 1\r\n"
@@ -32,12 +33,12 @@
     def __init__(self) -> None:
         self.taken: list[list[Any]] = []
         self.answer: defer.Deferred[Answer] = defer.Deferred()
-        self.intake = Intake(ASKS, self._take, lambda: 0, Recorder(), reactor=task.Clock())
+        self.intake = HttpListener(ASKS, self._take, lambda: 0, Recorder(), reactor=task.Clock())
         self.channel = self.intake.buildProtocol(address.IPv4Address("TCP", "127.0.0.1", 1))
         self.pipe = StringTransport()
         self.channel.makeConnection(self.pipe)
 
-    def _take(self, ask: Ask, content_type: str, body: bytes) -> defer.Deferred[Answer]:
+    def _take(self, ask: ReceivedRequest, content_type: str, body: bytes) -> defer.Deferred[Answer]:
         self.taken.append([plain(ask), content_type, body.hex()])
         return self.answer
 
@@ -55,13 +56,15 @@
     """The response to each final answer, and to what is not taken."""
     answers = {
         **{
-            f"fulfilled.warmth-{int(warmth)}": Answer(SUCCEEDED, 0.0, "text/plain", b"ok", "e1", warmth)
+            f"fulfilled.warmth-{int(warmth)}": Answer(
+                Completion.SUCCEEDED, 0.0, "text/plain", b"ok", "e1", warmth
+            )
             for warmth in Warmth
         },
-        "fulfilled.no-type": Answer(SUCCEEDED, 0.0, "", b"", "e1"),
-        "nacked": Answer(REJECTED),
-        "nacked.retry": Answer(REJECTED, 1230.4),
-        "broken-off": Answer(FAILED),
+        "fulfilled.no-type": Answer(Completion.SUCCEEDED, 0.0, "", b"", "e1"),
+        "nacked": Answer(Completion.REJECTED),
+        "nacked.retry": Answer(Completion.REJECTED, 1230.4),
+        "broken-off": Answer(Completion.FAILED),
     }
     return {f"response.{name}": _answered(answer) for name, answer in answers.items()} | _untaken()
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,7 +9,7 @@
 from test_days import day
 from twisted.internet import protocol
 
-from petrelway.common.structured_logs import Lines
+from petrelway.common.structured_logs import BufferedLogStream
 from petrelway.console import pages
 from petrelway.console.serving import (
     CONNECTIONS_BOUND,
@@ -21,7 +21,7 @@
 from petrelway.console.sketch import TopNames
 from petrelway.console.telemetry import EVENTS_BOUND, NAMES_BOUND, SECONDS, STORIES, Telemetry
 from petrelway.fakes.in_memory_network import Process
-from petrelway.gateway.dispatcher import Function
+from petrelway.gateway.function_spec import FunctionSpec
 from petrelway.scenarios.inmemory import CONSOLE_PORTS, MemoryDay
 
 
@@ -244,10 +244,10 @@
     host, now = rig.daemon.host, rig.daemon.now()
     for i, name in enumerate(HOSTILE):
         rig.daemon.host.take(
-            0, 0, Function(name, 10.0, 1, 0.0), f"{name}\n{name}", 900.0, 1.0, False, "", b""
+            0, 0, FunctionSpec(name, 10.0, 1, 0.0), f"{name}\n{name}", 900.0, 1.0, False, "", b""
         )
         rig.daemon.telemetry.changed(now, name, name)
-        assert i < len(host.known)
+        assert i < len(host.known_functions)
     for page in pages.PAGES:
         _, _, body = rig.get(f"/{page}?search=%3Cscript%3E&id=%3Cscript%3E")
         assert "<script>alert" not in body and "<img src=x" not in body and "\"onload='" not in body
@@ -262,7 +262,7 @@
     host, now = rig.daemon.host, rig.daemon.now()
     for i in range(10_000):
         index, _ = host.functions.enter(f"many-{i}")
-        host.known[index] = Function(f"many-{i}", 10.0, 1, 0.0)
+        host.known_functions[index] = FunctionSpec(f"many-{i}", 10.0, 1, 0.0)
         host.front_end.function_named(now, index, f"many-{i}", 10.0, 1, 0.0)
     status, _, body = rig.get("/functions")
     assert status == 200 and len(body) < 200_000
@@ -352,7 +352,7 @@
 
 def test_log_lines_are_shipped_in_the_background_and_none_is_lost_unsaid():
     disk, rig = Disk(fails=1), Rig()
-    lines = rig.daemon.lines = Lines(disk, bound=100)
+    lines = rig.daemon.lines = BufferedLogStream(disk, bound=100)
     rig.daemon.ship()
     rig.to(0.5)
     for i in range(130):
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -165,7 +165,7 @@
     net = Timed()
     r = rig(told)
     r.node.connect = r.node.follower.connect = net.connect
-    for link in r.node.host.links.values():
+    for link in r.node.host.channels.values():
         link.connect = net.connect
         link.cut("a test")
     r.step(400)
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -5,7 +5,8 @@
 from doubles import Heard, Log, Net, clock, lost
 from twisted.internet import defer
 
-from petrelway.gateway.dispatcher import FAILURES_BOUND, Function, Host
+from petrelway.gateway.dispatcher import DECISION_FAILURES_BOUND, Dispatcher
+from petrelway.gateway.function_spec import FunctionSpec
 from petrelway.routing.router import FrontEnd
 from petrelway.routing.types import (
     Capabilities,
@@ -22,7 +23,7 @@
 from petrelway.wire import codec
 from petrelway.wire.registry_codec import EndpointEntry
 
-F = Function("f", 100.0, 2, 500.0)
+F = FunctionSpec("f", 100.0, 2, 500.0)
 
 
 class Rig:
@@ -47,7 +48,7 @@
             ColdRule(4.0, 1500.0, 0.2, 10000.0),
             LoadRation(*ration),
         )
-        self.host = Host(
+        self.host = Dispatcher(
             self.clock,
             module,
             "front",
@@ -106,7 +107,7 @@
         )
 
     def kinds(self, serial):
-        return [a if isinstance(a, type) else a.kind for a in self.answers[serial]]
+        return [a if isinstance(a, type) else a.completion for a in self.answers[serial]]
 
 
 def test_the_ordinary_way():
@@ -119,7 +120,7 @@
     assert rig.kinds(serial) == ["fulfilled"] and rig.answers[serial][0].body == b"done"
     assert rig.answers[serial][0].executor == f"e{executor}"
     rig.step(20.0)
-    assert rig.host.taken == {} and rig.host.owed == 0 and rig.host.requests.index == {}
+    assert rig.host.pending == {} and rig.host.unanswered == 0 and rig.host.requests.index == {}
 
 
 def test_one_answer_however_they_race():
@@ -160,7 +161,7 @@
         rig.step(10.0)
         assert rig.kinds(serial) == expected, [event.__name__ for event in events]
         rig.step(50.0)
-        assert rig.host.owed == 0 and rig.host.taken == {}, [event.__name__ for event in events]
+        assert rig.host.unanswered == 0 and rig.host.pending == {}, [event.__name__ for event in events]
 
 
 def test_random_races_leave_nothing_owed():
@@ -202,11 +203,11 @@
             out += rig.sent()
         rig.step(3200.0)
         assert all(len(got) == 1 for got in rig.answers.values()), seed
-        assert rig.host.owed == 0
+        assert rig.host.unanswered == 0
         for e, serial, number, _ in out + rig.sent():
             rig.end(e, serial, 0, number)
         rig.step(50.0)
-        assert rig.host.taken == {} and rig.host.requests.index == {}, seed
+        assert rig.host.pending == {} and rig.host.requests.index == {}, seed
 
 
 def test_miss_order_and_send_again():
@@ -233,7 +234,7 @@
     rig.end(0, serial, Outcome.MISS, warmth=0)
     rig.step(5100.0)
     assert rig.host.load_requests == {} and rig.host.counts["order timeout"] == 1
-    assert rig.host.links[0].load_requests == {} and rig.kinds(serial) == ["nacked"]
+    assert rig.host.channels[0].load_requests == {} and rig.kinds(serial) == ["nacked"]
 
 
 def test_links_follow_the_list():
@@ -245,7 +246,7 @@
     rig.step()
     assert {e for e, *_ in rig.sent()} == {0}
     rig.step(7000.0)  # the module forgets a gone executor; its index and its link go
-    assert list(rig.host.links) == [0] and "e1" not in rig.host.executors.index
+    assert list(rig.host.channels) == [0] and "e1" not in rig.host.executors.index
 
 
 def test_what_waited_goes_out_only_if_it_still_may():
@@ -263,7 +264,7 @@
         rig.executors[0][0].resumeProducing()  # in the very turn, before anything is decided anew
         assert len(rig.sent()) == (what == "nothing")
         rig.step(3000.0)
-        assert len(rig.kinds(serial)) == 1 and rig.host.owed == 0
+        assert len(rig.kinds(serial)) == 1 and rig.host.unanswered == 0
 
 
 class Sick(FrontEnd):
@@ -292,16 +293,16 @@
     assert serial == well
     rig.end(e, well, Outcome.SUCCEEDED)
     rig.step(20.0)
-    assert rig.kinds(well) == ["fulfilled"] and rig.host.taken == {}
+    assert rig.kinds(well) == ["fulfilled"] and rig.host.pending == {}
 
 
 def test_decisions_that_keep_failing_break_off_what_is_owed():
     rig = Rig(kind=Sick)
     rig.host.front_end.ill = True
-    for _ in range(FAILURES_BOUND + 20):
+    for _ in range(DECISION_FAILURES_BOUND + 20):
         rig.take()
     rig.step(50.0)
-    assert all(rig.kinds(s) == ["broken off"] for s in rig.answers) and rig.host.owed == 0
+    assert all(rig.kinds(s) == ["broken off"] for s in rig.answers) and rig.host.unanswered == 0
     rig.host.front_end.ill = False
     rig.step(50.0)
     serial, _ = rig.take()
@@ -317,7 +318,7 @@
     rig.step()
     ((e, *_),) = rig.sent()
     idle = []
-    rig.host.nothing_owed().addCallback(lambda _: idle.append(True))
+    rig.host.all_answered().addCallback(lambda _: idle.append(True))
     assert not idle
     rig.end(e, first, Outcome.SUCCEEDED)
     assert idle
@@ -331,8 +332,8 @@
 def test_a_turn_that_fails_is_not_the_last_one():
     """Danger: an exception while a decision was carried out left the host in its turn for ever."""
     rig = Rig(1)
-    link = rig.host.links[0]
-    send, rig.host.links[0].send = link.send, None  # a fault of ours
+    link = rig.host.channels[0]
+    send, rig.host.channels[0].send = link.send, None  # a fault of ours
     serial, _ = rig.take()
     try:
         rig.step()
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -12,16 +12,17 @@
 from twisted.internet.testing import StringTransport
 
 from petrelway.events.single import ATTRIBUTES_BOUND, EventError, read
+from petrelway.gateway.answers import Answer, Completion
 from petrelway.gateway.backoff import Backoff
-from petrelway.gateway.cloudevent_requests import Ask, Asks, Catalogue
-from petrelway.gateway.dispatcher import FAILED, REJECTED, SUCCEEDED, Answer, Function
-from petrelway.gateway.http_listener import BODY_BOUND, Intake
-from petrelway.gateway.registry_client import Follower
+from petrelway.gateway.cloudevent_requests import CloudEventReader, FunctionCatalogue, ReceivedRequest
+from petrelway.gateway.function_spec import FunctionSpec
+from petrelway.gateway.http_listener import BODY_BOUND, HttpListener
+from petrelway.gateway.registry_client import RegistryClient
 from petrelway.routing.types import Warmth
 from petrelway.wire import registry_codec
 
-CATALOGUE = Catalogue([Function("f", 100.0, 2, 0.0), Function("station-*", 50.0, 4, 0.0)])
-ASKS = Asks({"t": 3000.0, "u": 6000.0}, ["north", "south"], CATALOGUE)
+CATALOGUE = FunctionCatalogue([FunctionSpec("f", 100.0, 2, 0.0), FunctionSpec("station-*", 50.0, 4, 0.0)])
+ASKS = CloudEventReader({"t": 3000.0, "u": 6000.0}, ["north", "south"], CATALOGUE)
 GOOD = {
     "specversion": "1.0",
     "id": "1",
@@ -36,7 +37,7 @@
 class Rig:
     def __init__(self, open_bound=10, connections_bound=10):
         self.taken, self.owed, self.log = [], 0, Log()
-        self.intake = Intake(
+        self.intake = HttpListener(
             ASKS, self._take, lambda: self.owed, self.log, open_bound, connections_bound, reactor=clock()
         )
         self.connect()
@@ -48,7 +49,7 @@
             self.channel.makeConnection(self.pipe)
         return self.channel
 
-    def _take(self, ask: Ask, content_type, body):
+    def _take(self, ask: ReceivedRequest, content_type, body):
         answer = defer.Deferred(lambda d: self.cancelled.append(ask))
         self.cancelled = []
         self.taken.append((ask, content_type, body, answer))
@@ -88,10 +89,14 @@
 
 def test_answers_are_told_apart():
     table = [
-        (Answer(SUCCEEDED, 0.0, "text/plain", b"ok", "e1", Warmth.FOUND), 200, {"petrelway-warmth": "found"}),
-        (Answer(REJECTED, 230.4), 503, {"retry-after": "1", "petrelway-retry-ms": "231"}),
-        (Answer(REJECTED), 503, {"retry-after": None}),
-        (Answer(FAILED), 502, {"retry-after": None}),
+        (
+            Answer(Completion.SUCCEEDED, 0.0, "text/plain", b"ok", "e1", Warmth.FOUND),
+            200,
+            {"petrelway-warmth": "found"},
+        ),
+        (Answer(Completion.REJECTED, 230.4), 503, {"retry-after": "1", "petrelway-retry-ms": "231"}),
+        (Answer(Completion.REJECTED), 503, {"retry-after": None}),
+        (Answer(Completion.FAILED), 502, {"retry-after": None}),
     ]
     rig = Rig()
     for answer, status, headers in table:
@@ -100,7 +105,7 @@
         assert (ask.function.name, ask.mark, ask.remaining_ms, body) == ("f", "/gw\n1", 3000.0, b"7")
         deferred.callback(answer)
         got, told, _ = rig.response()
-        assert got == status and told["petrelway-outcome"] == answer.kind
+        assert got == status and told["petrelway-outcome"] == answer.completion
         assert all(told.get(k) == v for k, v in headers.items())
 
 
@@ -179,7 +184,7 @@
         assert rig.post(head | {"content-type": kind}, b"a=1&b") is None
         _, content_type, body, answer = rig.taken.pop()
         assert (content_type, body) == (kind, b"a=1&b")
-        answer.callback(Answer(SUCCEEDED, 0.0, "text/plain", b"ok", "e1", Warmth.FOUND))
+        answer.callback(Answer(Completion.SUCCEEDED, 0.0, "text/plain", b"ok", "e1", Warmth.FOUND))
         assert rig.response()[0] == 200
 
 
@@ -243,7 +248,7 @@
 
 
 def test_catalogue():
-    assert CATALOGUE.find("station-9") == Function("station-9", 50.0, 4, 0.0)
+    assert CATALOGUE.find("station-9") == FunctionSpec("station-9", 50.0, 4, 0.0)
     assert CATALOGUE.find("f").memory_mb == 100.0 and CATALOGUE.find("other") is None
     began = time.process_time()
     assert CATALOGUE.find("station-" + "a" * 400) is not None and time.process_time() - began < 1.0
@@ -252,7 +257,7 @@
 class RegistryRig:
     def __init__(self):
         self.clock, self.net, self.log, self.heard = clock(), Net(), Log(), []
-        self.follower = Follower(
+        self.follower = RegistryClient(
             "front",
             "p",
             "127.0.0.1",
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -4,8 +4,14 @@
 
 from doubles import Heard, Log, Net, clock, lost
 
-from petrelway.gateway.attempt_ledger import Ledger
-from petrelway.gateway.executor_channel import BUFFER_BYTES, CLOGGED_MS, GREETING_MS, WAITING_BOUND, Link
+from petrelway.gateway.attempt_ledger import AttemptLedger
+from petrelway.gateway.executor_channel import (
+    BUFFER_BYTES,
+    CLOGGED_MS,
+    GREETING_MS,
+    WAITING_BOUND,
+    ExecutorChannel,
+)
 from petrelway.routing.types import NEVER_RAN, Outcome
 from petrelway.wire import codec
 from petrelway.wire.framing import frame
@@ -31,7 +37,7 @@
 class Rig:
     def __init__(self):
         self.clock, self.net, self.ears, self.log = clock(), Net(), Ears(), Log()
-        self.link = Link(
+        self.link = ExecutorChannel(
             0,
             "e0",
             "127.0.0.1",
@@ -213,7 +219,7 @@
     """Any order of events: a key ends once, and as never run only if it was not handed over."""
     random_source = random.Random(5)
     for _ in range(300):
-        ledger, handed, ends = Ledger(5), set(), []
+        ledger, handed, ends = AttemptLedger(5), set(), []
         keys = [(i, 0) for i in range(12)]
         taken = set()
         for _ in range(40):
@@ -226,7 +232,7 @@
                 handed.add(ledger.hand_over())
             elif what == 2 and ledger.ended(key):
                 ends.append((key, Outcome.SUCCEEDED))
-            elif what == 3 and (end := ledger.give_up(key, Outcome.TIMEOUT)):
+            elif what == 3 and (end := ledger.abandon(key, Outcome.TIMEOUT)):
                 ends.append((key, end[1]))
             elif what == 4 and random_source.random() < 0.2:
                 ends += ledger.broke()
--- a/tests/test_node_door.py
+++ b/tests/test_node_door.py
@@ -5,7 +5,8 @@
 from doubles import Log, Pipe, clock, lost
 
 from petrelway.fakes.platform_peers import CALL, request
-from petrelway.gateway.dispatcher import FAILED, REJECTED, SUCCEEDED, Answer, PendingAnswer
+from petrelway.gateway.answers import Answer, Completion
+from petrelway.gateway.pending_requests import PendingAnswer
 from petrelway.node import client_listener as doors
 from petrelway.node import connection_state as connections
 from petrelway.node.client_listener import Door
@@ -32,11 +33,11 @@
         )
 
     def take(self, passed, request_class, tenant, remaining, work, memory, lanes, load):
-        def give_up():  # the host answers in its next turn
+        def abandon():  # the host answers in its next turn
             self.given_up.append(passed.call)
-            self.clock.callLater(0, answer.callback, Answer(FAILED))
+            self.clock.callLater(0, answer.callback, Answer(Completion.FAILED))
 
-        answer = PendingAnswer(lambda _: self.gone.append(passed.call), give_up)
+        answer = PendingAnswer(lambda _: self.gone.append(passed.call), abandon)
         self.taken.append((passed, answer))
         return answer
 
@@ -66,7 +67,11 @@
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(b"".join(request(i, call=call(i)) for i in (1, 2, 3)))
-    answers = ((1, Answer(REJECTED, 120.0)), (0, Answer(SUCCEEDED, body=b"ok")), (2, Answer(FAILED)))
+    answers = (
+        (1, Answer(Completion.REJECTED, 120.0)),
+        (0, Answer(Completion.SUCCEEDED, body=b"ok")),
+        (2, Answer(Completion.FAILED)),
+    )
     for i, answer in answers:
         rig.taken[i][1].callback(answer)
     rejected, succeeded, broken = said(pipe)
@@ -183,7 +188,7 @@
     assert heard["id"] is None and heard["error"]["code"] == lines.BAD_PARAMS
     client.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}\n' % call(9).encode())
     assert not pipe.closed and not rig.gone and pipe.take() == b""
-    rig.taken[0][1].callback(Answer(SUCCEEDED, body=b"ok"))
+    rig.taken[0][1].callback(Answer(Completion.SUCCEEDED, body=b"ok"))
     assert said(pipe)[0]["id"] == 1
 
 
@@ -199,7 +204,7 @@
     third.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}\n' % CALL.encode())
     assert not rig.gone  # neither theirs nor its own under the same number
     bad.connectionLost(lost())
-    rig.taken[0][1].callback(Answer(SUCCEEDED, body=b"ok"))
+    rig.taken[0][1].callback(Answer(Completion.SUCCEEDED, body=b"ok"))
     assert said(pipe)[0]["result"] == {"bytes": "b2s="}
 
 
@@ -209,7 +214,7 @@
     for i in range(1, 3001):
         client.dataReceived(request(i, call=call(i)))
         rig.turns()
-        rig.taken.pop()[1].callback(Answer(SUCCEEDED))
+        rig.taken.pop()[1].callback(Answer(Completion.SUCCEEDED))
     assert not client.state.used.above and not pipe.closed
     client.dataReceived(request(17, call=call(9999)))
     assert pipe.closed
@@ -245,13 +250,13 @@
     for client, number in ((idle, 1), (at_work, 2), (stuck, 3)):
         client[0].dataReceived(request(1, call=call(number)))
     stuck[0].dataReceived(b"{")
-    rig.taken[0][1].callback(Answer(SUCCEEDED))
+    rig.taken[0][1].callback(Answer(Completion.SUCCEEDED))
     rig.step(connections.SILENT_MS + doors.SWEEP_MS + 50)
     assert [c[1].closed for c in (silent, half, stuck, idle, at_work)] == [True, True, False, False, False]
     assert connections.SILENT_MS + doors.SWEEP_MS + doors.LOOK_AGAIN_MS < 3000.0
     rig.step(connections.IDLE_MS)
     assert idle[1].closed and not at_work[1].closed and not stuck[1].closed  # not with a request open there
-    rig.taken[2][1].callback(Answer(SUCCEEDED))
+    rig.taken[2][1].callback(Answer(Completion.SUCCEEDED))
     rig.step(connections.SILENT_MS + doors.SWEEP_MS + 50)
     assert stuck[1].closed and rig.door.counts[CloseReason.HALF_LINE] == 2
 
@@ -279,7 +284,7 @@
     spoke = [rig.client() for _ in range(3)]
     for number, (client, _) in enumerate(spoke, 1):
         client.dataReceived(request(1, call=call(number)))
-        rig.taken[-1][1].callback(Answer(SUCCEEDED))
+        rig.taken[-1][1].callback(Answer(Completion.SUCCEEDED))
     rig.step(100)
     silent = [rig.client() for _ in range(2)]
     rig.step(200)
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -157,12 +157,12 @@
     client.dataReceived(request())
     rig.step(20)
     ((wire, command),) = rig.sent()
-    old = next(link for link in rig.node.host.links.values() if link.stable == "s-00000001")
+    old = next(link for link in rig.node.host.channels.values() if link.stable == "s-00000001")
     assert old.where
     rig.bus[0].dataReceived(event(2, 2, record(2, 7001)))
     assert not old.wires and old.left  # what was out there ended: it may have run
     rig.step(300)
-    fresh = next(link for link in rig.node.host.links.values() if link.stable == "s-00000002")
+    fresh = next(link for link in rig.node.host.channels.values() if link.stable == "s-00000002")
     assert fresh.wires
     rig.bus[0].dataReceived(event(3, 2, record(2, 7001, state=2)))
     assert fresh.left and not fresh.wires  # one that has gone is let go at once
@@ -174,7 +174,7 @@
     client.dataReceived(request())
     rig.step(20)
     old = rig.bus
-    wires = [link.wires[:] for link in rig.node.host.links.values()]
+    wires = [link.wires[:] for link in rig.node.host.channels.values()]
     rig.file = b"{"
     rig.node.reload()
     assert not old[1].closed and rig.log.events()[-1].startswith("configuration can't be used")
@@ -185,7 +185,7 @@
     assert old[1].aborted and rig.bus[1].take() == b"\x00" * 7 + b"\x01"
     rig.node.reload()
     assert not rig.bus[1].closed  # the same place: nothing to do
-    assert [link.wires for link in rig.node.host.links.values()] == wires and not pipe.closed
+    assert [link.wires for link in rig.node.host.channels.values()] == wires and not pipe.closed
     rig.step(100, serve=True)
     assert said(pipe)[0]["result"]
 
@@ -237,7 +237,7 @@
     assert not rig.reactor.port.open and idle[1].closed and not usual[1].closed and not left
     usual[0].dataReceived(request(2, call=f"{3:016x}"))  # too late: refused at once
     assert said(usual[1])[0]["error"]["code"] == -32014
-    for wires in (link.wires for link in rig.node.host.links.values()):
+    for wires in (link.wires for link in rig.node.host.channels.values()):
         for wire in list(wires):
             for id in list(wire.open):
                 wire.dataReceived(answer(100, id))
@@ -257,7 +257,7 @@
     rig.step(4000 + OPEN_MS)
     assert left and len(said(pipe)) == 1  # within its own time
     rig = Rig()
-    rig.node.host.owed += 1  # should one never be answered, by whatever fault: it ends and says so
+    rig.node.host.unanswered += 1  # should one never be answered, by whatever fault: it ends and says so
     rig.node.stopService().addCallback(left.append)
     rig.step(4000 + OPEN_MS + 500)
     assert len(left) == 2 and "answers owed past every outer limit" in rig.log.events()
@@ -268,16 +268,16 @@
     tables = {
         "door": (node.door.callers, node.door.calls),
         "host": (
-            host.taken,
-            host.links,
-            host.known,
+            host.pending,
+            host.channels,
+            host.known_functions,
             host.load_requests,
             host.requests.index,
             host.executors.index,
             host.functions.index,
         ),
         "module": (fe.requests, fe.executors, fe.functions, fe.ready, fe.attention, fe.wanted),
-        "links": [link.where for link in host.links.values()],
+        "links": [link.where for link in host.channels.values()],
     }
     return {name: [len(t) for t in some] for name, some in tables.items()}
 
@@ -299,7 +299,7 @@
         rig.step(20, serve=True)
         if turn % 3:
             client.connectionLost(lost())
-    assert len(rig.node.host.known) > 1000 and len(rig.node.host.links) > 100
+    assert len(rig.node.host.known_functions) > 1000 and len(rig.node.host.channels) > 100
     last = [record(1000 + turn, 7002 + turn % 20, 2) for turn in range(1180, 1200)]
     rig.bus[0].dataReceived(event(number + 1, 2, *last))
     for _ in range(80):
@@ -314,7 +314,7 @@
     rig.node.lag_ms = 200.0
     client, _ = rig.client()
     client.dataReceived(request(1, call=CALL, ttl=1000))
-    taken = next(iter(rig.node.host.taken.values()))
+    taken = next(iter(rig.node.host.pending.values()))
     left_ms = taken.deadline_ms - rig.reactor.seconds() * 1e3
     assert 700.0 < left_ms < 800.0
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from petrelway.common.deployment_settings import DeploymentSettingsError, read_terms
+from petrelway.common.deployment_settings import DeploymentSettingsError, read_deployment_settings
 from petrelway.common.endpoint_entry import EndpointEntry
 from petrelway.fakes.platform_peers import (
     CALL,
@@ -398,10 +398,10 @@
     ]
     for settings, where in table:
         with pytest.raises(DeploymentSettingsError, match=where):
-            read_terms(settings)
-    assert read_terms(SETTINGS).request_classes
+            read_deployment_settings(settings)
+    assert read_deployment_settings(SETTINGS).request_classes
     # what the wire page says may be missing, and keys that it does not name
-    assert read_terms(without(SETTINGS, "orgs")).tenants == []
-    assert read_terms(told(later={"x": 1})) == read_terms(SETTINGS)
-    assert read_terms(told(orgs=None)).tenants == []  # null stands for an absent value
-    assert read_terms(told("limits", probes=None)).capabilities.probes is False
+    assert read_deployment_settings(without(SETTINGS, "orgs")).tenants == []
+    assert read_deployment_settings(told(later={"x": 1})) == read_deployment_settings(SETTINGS)
+    assert read_deployment_settings(told(orgs=None)).tenants == []  # null stands for an absent value
+    assert read_deployment_settings(told("limits", probes=None)).capabilities.probes is False
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -63,7 +63,7 @@
     rig.step()
     for step_s in (-3600.0, -3600.0, 3600.0):
         ahead_s[0] = step_s
-        rig.host.look_at_wall_clock()
+        rig.host.check_wall_clock()
         listed(rig, started_ms)
         rig.step()
     rig.end(0, serial, 0)
@@ -81,7 +81,7 @@
     listed(rig, heard_ms - 8_000.0)
     rig.step(500.0)
     ahead_s[0] = -3600.0
-    rig.host.look_at_wall_clock()
+    rig.host.check_wall_clock()
     (executor,) = rig.host.front_end.executors.values()
     assert executor.endpoint.started_ms == heard_ms
 
