--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -204,7 +204,7 @@
 
         def know() -> None:
             for front in played.fronts.values():
-                front.host.front_end.gate.own = 1.0 / len(played.fronts)
+                front.dispatcher.front_end.gate.own = 1.0 / len(played.fronts)
 
         played._at(10_000.1, know)
     lines = played.play()
@@ -254,7 +254,7 @@
         fronts = clients.traffic.fronts
         clients.traffic.fronts = [[f for f in some for _ in range(weights[f])] for some in fronts]
     for number, front in played.fronts.items() if lent else ():
-        front.host.front_end.gate.own = weights[number] / sum(weights)
+        front.dispatcher.front_end.gate.own = weights[number] / sum(weights)
     return what, lent, served(played.play(), 8000, 20_000)
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -313,7 +313,7 @@
     if series:
 
         def look() -> None:
-            fes = [f.host.front_end for f in played.fronts.values()]
+            fes = [f.dispatcher.front_end for f in played.fronts.values()]
             rows.append({
                 "t": played.sim.now_s * 1e3 - played.epoch_ms,
                 "out": sum(fe.out for fe in fes),
--- a/petrelway/console/pages.py
+++ b/petrelway/console/pages.py
@@ -36,7 +36,7 @@
 
 def executors(d: Any, asked: dict[str, str]) -> Generator[None, None, dict[str, Any]]:
     """Per zone and executor: stage, pace, backlog, why it is avoided."""
-    host, now = d.host, d.now()
+    host, now = d.dispatcher, d.now()
     rows: list[dict[str, Any]] = []
     minute = d.telemetry.service(now, 60).get("executor", {})
     yield
@@ -53,7 +53,7 @@
 
 def functions(d: Any, asked: dict[str, str]) -> Generator[None, None, dict[str, Any]]:
     """Per function where it is believed warm; the hot ones by the sketch."""
-    host, now = d.host, d.now()
+    host, now = d.dispatcher, d.now()
     known = {index: f.name for index, f in host.known_functions.items()}
     yield
     wanted = asked.get("search", "")
--- a/petrelway/daemon/service.py
+++ b/petrelway/daemon/service.py
@@ -54,7 +54,7 @@
 
     def startService(self) -> None:
         """Raises twisted.internet.error.CannotListenError if a port is taken."""
-        found, guard = self.found, self.found["guard"]
+        found, guard = self.sections, self.sections["guard"]
         wanted = found.get("console")
         token = read_token(wanted.token_file) if wanted is not None and wanted.token_file else ""
         now = self.now()
@@ -75,8 +75,9 @@
             random_source,
         )
         super().startService()
-        self.host.observer = self.telemetry
-        self.intake.guard, self.intake.shut = self._guard, self.shedder.shut
+        self.dispatcher.observer = self.telemetry
+        self.http_listener.admission_retry_ms = self._admission_retry_ms
+        self.http_listener.overload_retry_ms = self.shedder.shut
         self.background.on_lag.append(self._lag_seen)
         self.background.start()
         self.background.run("counts into minutes", Class.IDLE, self._roll()).addErrback(lambda _: None)
@@ -93,10 +94,10 @@
                 raise
             self.log.info("console started", address=wanted.address, port=self.console_port.getHost().port)
 
-    def _adopted(self, told) -> None:
-        super()._adopted(told)
-        self.telemetry.terms_told(self.made.latency_objective_ms)
-        self.shedder.told([c.portion for c in self.made.tenants])
+    def _policy_adopted(self, told) -> None:
+        super()._policy_adopted(told)
+        self.telemetry.terms_told(self.active_policy.latency_objective_ms)
+        self.shedder.told([c.portion for c in self.active_policy.tenants])
         self.telemetry.changed(self.now(), "terms", f"version {told.version} ({told.digest})")
 
     def _roll(self):
@@ -113,12 +114,17 @@
         while True:
             yield None if self.lines.ship() else HOUSEKEEPING_MS
 
-    def _guard(self, ask: ReceivedRequest) -> float:
-        return self.shedder.ask(self.now(), ask.tenant, ask.repeat)
+    def _admission_retry_ms(self, received: ReceivedRequest) -> float:
+        return self.shedder.ask(self.now(), received.tenant, received.repeat)
 
     def _lag_seen(self, lag_ms: float) -> None:
         before = self.shedder.step
-        self.shedder.seen(lag_ms, self.host.unanswered, self.host.unanswered_bytes, self.intake.connections)
+        self.shedder.seen(
+            lag_ms,
+            self.dispatcher.unanswered,
+            self.dispatcher.unanswered_bytes,
+            self.http_listener.connections,
+        )
         step = self.shedder.step
         if step is not before:
             self.telemetry.changed(self.now(), "gives up", step.name.lower().replace("_", " "))
@@ -139,17 +145,17 @@
 
     def own_state(self) -> dict[str, Any]:
         """Lag, budgets, what is given up, counts; reads only."""
-        fe, p = self.host.front_end, self.background.planner
+        fe, p = self.dispatcher.front_end, self.background.planner
         return {
-            "open triggers": self.host.unanswered,
+            "open triggers": self.dispatcher.unanswered,
             "held": sum(len(f.held) for f in fe.functions.values()),
             "orders and loads": sum(len(e.load_requests) for e in fe.executors.values()),
             "executors ready": len(fe.ready),
             "functions known": len(fe.functions),
             "limit of own triggers": round(fe.limit, 1),
             "share of late answers": round(fe.late, 3),
-            "bytes held": self.host.unanswered_bytes,
-            "clients' connections": self.intake.connections,
+            "bytes held": self.dispatcher.unanswered_bytes,
+            "clients' connections": self.http_listener.connections,
             "lag ms": round(p.lag_ms, 2),
             "gives up": self.shedder.step.name.lower().replace("_", " "),
             "step": int(self.shedder.step),
--- a/petrelway/emulator/day.py
+++ b/petrelway/emulator/day.py
@@ -271,7 +271,7 @@
             self.leaving.discard(number)
             self._ended(number, front)
 
-        front.host.all_answered().addCallback(lambda _: self.sim.later(0.0, ended, None))
+        front.dispatcher.all_answered().addCallback(lambda _: self.sim.later(0.0, ended, None))
 
     def _ended(self, number: int, front: Front) -> None:
         front.kill()
--- a/petrelway/emulator/front_ends.py
+++ b/petrelway/emulator/front_ends.py
@@ -16,7 +16,7 @@
 from ..gateway.dispatcher import Dispatcher
 from ..gateway.function_spec import FunctionSpec
 from ..gateway.registry_client import RETRY_LEAST_MS, RETRY_MOST_MS
-from ..gateway.service import decider, note_uses
+from ..gateway.routing_setup import new_routing_core, record_quota_use
 from ..routing.router import FrontEnd
 from ..wire.registry_codec import EndpointEntry
 from .executor_channel import Cable, EmulatedLink
@@ -64,7 +64,7 @@
             self.book.record.note(
                 "told",
                 fe=self.front.name,
-                fp=self.front.host.process,
+                fp=self.front.dispatcher.process,
                 serial=serial,
                 full=complete,
                 lines=told,
@@ -79,7 +79,7 @@
             return
         self.serial = serial
         self.backoff.succeeded()
-        self.front.host.executors_listed(lines, complete)
+        self.front.dispatcher.executors_listed(lines, complete)
 
     def drop(self) -> None:
         self.leave()
@@ -108,9 +108,9 @@
         self.place, self.name, self.registry_up = place, told.name, registry_up
         self.random_source = random.Random(f"{told.seed}/{told.name}/links")
         fleet = found["fleet"]
-        self.host = Dispatcher(
+        self.dispatcher = Dispatcher(
             place.process,
-            decider(kind, place.sim.now_s * 1e3, told.seed, found),
+            new_routing_core(kind, place.sim.now_s * 1e3, told.seed, found),
             told.name,
             process,
             [t.name for t in found["tariffs"]],
@@ -139,7 +139,7 @@
     ) -> Callable[[], None]:
         """A client's try has come. `truth` goes to the executor: work, waiting, number of the try. What is
         returned says that the client is gone."""
-        answer = self.host.take(
+        answer = self.dispatcher.take(
             request_class, tenant, function, mark, remaining_ms, hint_ms, repeat, "", Truth(truth)
         )
         answer.addCallbacks(answered, lambda f: f.trap(defer.CancelledError))
@@ -147,18 +147,18 @@
 
     def join(self, sea: Sea, number: int) -> None:
         """It knows the others, and its module hears which part of the rations it may use."""
-        host, front_end = self.host, self.host.front_end
+        dispatcher, front_end = self.dispatcher, self.dispatcher.front_end
         peer = sea.start(number, self.place.process)
-        peer.told = lambda part: front_end.part_told(host.now(), part)
-        front_end.part_told(host.now(), peer.held.part)
+        peer.told = lambda part: front_end.part_told(dispatcher.now(), part)
+        front_end.part_told(dispatcher.now(), peer.held.part)
         if isinstance(front_end, FrontEnd):
-            note_uses(front_end, peer.note)
+            record_quota_use(front_end, peer.note)
 
     def kill(self) -> None:
         """The process is dead at once; the other ends notice."""
         self.place.process.kill()
         self.following.leave()
-        for link in self.host.channels.values():
+        for link in self.dispatcher.channels.values():
             link.killed()
 
 
--- a/petrelway/gateway/active_policy.py
+++ b/petrelway/gateway/active_policy.py
@@ -1,74 +1,118 @@
-"""The operators' terms as the host, the module and the intake need them; made before they are needed."""
+"""The policy that requests are accepted under, as dispatcher, routing core and listener need it.
+
+It is made whole before it is used, so that a policy that can't be used changes nothing.
+"""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
 from ..routing.types import Capabilities, Idempotency, RequestClass, Scope, Tenant
-from .cloudevent_requests import CloudEventReader, FunctionCatalogue
+from .cloudevent_requests import CloudEventReader
+from .function_catalogue import FunctionCatalogue
 from .function_spec import FunctionSpec
 
-PLACES_BOUND = 10_000  # request classes, or tenants, that one process may have known
+NAMES_BOUND = 10_000  # request classes, or tenants, that one process may have known
+NO_QUOTA = Tenant(0.0, 0.0)  # of a tenant that the present policy names no more
 
 
 class ActivePolicy(NamedTuple):
-    """What requests are taken under from one turn on."""
+    """What requests are accepted under from one turn on. Times in ms."""
 
-    asks: CloudEventReader
+    reader: CloudEventReader
     request_classes: list[RequestClass]
     tenants: list[Tenant]
     request_class_names: list[str]
     tenant_names: list[str]
     capabilities: Capabilities
     latency_objective_ms: dict[str, float]
-    longest_ms: float  # the longest outer limit
+    longest_ms: float  # the longest deadline
+
+
+class _IndexedValues:
+    """Values by name, each at an index that it keeps for as long as the process lives."""
+
+    def __init__(self, names: list[str], values: list[Any]) -> None:
+        self.indices = {name: index for index, name in enumerate(names)}
+        self.values = values
+
+    def put(self, name: str, value: Any) -> None:
+        if name in self.indices:
+            self.values[self.indices[name]] = value
+        else:
+            self.indices[name] = len(self.values)
+            self.values.append(value)
+
+
+def capabilities_of(section: Any) -> Capabilities:
+    """Read what the deployment lets a front end do from its section."""
+    return Capabilities(
+        section.attempts, section.hedging, section.cancel_attempt, False, False, section.longest_retry_ms
+    )
+
 
+def make_policy(sections: dict[str, Any], before: ActivePolicy | None = None) -> ActivePolicy:
+    """Make a policy from checked sections.
 
-def capabilities_of(told: Any) -> Capabilities:
-    return Capabilities(told.attempts, told.hedging, told.cancel_attempt, False, False, told.longest_retry_ms)
+    A name keeps its index for as long as the process lives, since open requests name request classes and
+    tenants that may be dropped. Raise ValueError past NAMES_BOUND."""
+    request_classes = _indexed_request_classes(sections, before)
+    tenants = _indexed_tenants(sections, before)
+    for what, indexed in (("tariffs", request_classes), ("customers", tenants)):
+        if len(indexed.indices) > NAMES_BOUND:
+            raise ValueError(
+                f"{what}: found {len(indexed.indices)} names since this process started; allowed: "
+                f"{NAMES_BOUND}; start it again"
+            )
+    present = sections["tariffs"]
+    functions = [
+        FunctionSpec(function.name, function.memory_mb, function.lanes, function.load_ms)
+        for function in sections["functions"]
+    ]
+    reader = CloudEventReader(
+        {request_class.name: request_class.deadline_ms for request_class in present},
+        [tenant.name for tenant in sections["customers"]],
+        FunctionCatalogue(functions),
+        request_classes.indices,
+        tenants.indices,
+    )
+    latency_objective_ms = dict(before.latency_objective_ms) if before else {}
+    latency_objective_ms.update((each.name, each.latency_objective_ms) for each in present)
+    longest_before_ms = before.longest_ms if before else 0.0
+    return ActivePolicy(
+        reader,
+        request_classes.values,
+        tenants.values,
+        list(request_classes.indices),
+        list(tenants.indices),
+        capabilities_of(sections["permits"]),
+        latency_objective_ms,
+        max([longest_before_ms, *(each.deadline_ms for each in present)]),
+    )
+
+
+def _indexed_request_classes(sections: dict[str, Any], before: ActivePolicy | None) -> _IndexedValues:
+    indexed = _IndexedValues(
+        before.request_class_names if before else [], list(before.request_classes) if before else []
+    )
+    for section in sections["tariffs"]:
+        request_class = RequestClass(
+            Idempotency(section.idempotency),
+            Scope(section.scope),
+            section.window_ms,
+            section.latency_objective_ms,
+            section.deadline_ms,
+            section.worth,
+            section.late_share,
+        )
+        indexed.put(section.name, request_class)
+    return indexed
 
 
-def make(found: dict[str, Any], before: ActivePolicy | None = None) -> ActivePolicy:
-    """From checked sections. A name keeps its index for as long as the process lives: requests that are open
-    name request classes and tenants that may be dropped. Raises ValueError past PLACES_BOUND."""
-    request_classes, places = (
-        list(before.request_classes) if before else [],
-        _places(before and before.request_class_names),
+def _indexed_tenants(sections: dict[str, Any], before: ActivePolicy | None) -> _IndexedValues:
+    indexed = _IndexedValues(
+        before.tenant_names if before else [], [NO_QUOTA] * (len(before.tenants) if before else 0)
     )
-    for t in found["tariffs"]:
-        request_class = RequestClass(Idempotency(t.idempotency), Scope(t.scope), t.window_ms, t.latency_objective_ms, t.deadline_ms, t.worth,
-                        t.late_share)  # fmt: skip
-        _put(request_classes, places, t.name, request_class)
-    # what was dropped has no share any more
-    tenants = [Tenant(0.0, 0.0)] * (len(before.tenants) if before else 0)
-    names = _places(before and before.tenant_names)
-    for c in found["customers"]:
-        _put(tenants, names, c.name, Tenant(c.portion, c.rate))
-    for what, some in (("tariffs", places), ("customers", names)):
-        if len(some) > PLACES_BOUND:
-            raise ValueError(f"{what}: found {len(some)} names since this process started; allowed: "
-                             f"{PLACES_BOUND}; start it again")  # fmt: skip
-    functions = [FunctionSpec(f.name, f.memory_mb, f.lanes, f.load_ms) for f in found["functions"]]
-    asks = CloudEventReader(
-        {t.name: t.deadline_ms for t in found["tariffs"]}, [c.name for c in found["customers"]],
-        FunctionCatalogue(functions), places, names,
-    )  # fmt: skip
-    latency_objective_ms = {
-        **(before.latency_objective_ms if before else {}),
-        **{t.name: t.latency_objective_ms for t in found["tariffs"]},
-    }
-    longest_ms = max([before.longest_ms if before else 0.0, *(t.deadline_ms for t in found["tariffs"])])
-    return ActivePolicy(asks, request_classes, tenants, list(places), list(names), capabilities_of(found["permits"]), latency_objective_ms,
-                 longest_ms)  # fmt: skip
-
-
-def _places(names: list[str] | None) -> dict[str, int]:
-    return {name: i for i, name in enumerate(names or [])}
-
-
-def _put(some: list, places: dict[str, int], name: str, value: Any) -> None:
-    if name in places:
-        some[places[name]] = value
-    else:
-        places[name] = len(some)
-        some.append(value)
+    for section in sections["customers"]:
+        indexed.put(section.name, Tenant(section.portion, section.rate))
+    return indexed
--- a/petrelway/gateway/service.py
+++ b/petrelway/gateway/service.py
@@ -1,4 +1,8 @@
-"""One front end as a Twisted service: wired from its sections, started and stopped as a whole."""
+"""One front end as a Twisted service: wired from its checked settings, started and stopped as a whole.
+
+`petrelway serve` runs it, the daemon adds a console. It owns the HTTP listener, the dispatcher, the registry's
+client, and the memberships of quota and policy where the settings name peers.
+"""
 
 from __future__ import annotations
 
@@ -12,68 +16,29 @@
 
 from ..membership.service import FleetService, Listed, new_token
 from ..routing.router import FrontEnd
-from ..routing.types import ColdRule, Keeping, LoadRation, Place
 from ..sockets.listening import listen_tcp
-from . import active_policy as terms
+from .active_policy import make_policy
 from .answers import Answer
 from .cloudevent_requests import ReceivedRequest
 from .dispatcher import Dispatcher
 from .http_listener import HttpListener
 from .outgoing_connections import connector
 from .registry_client import RegistryClient
+from .routing_setup import new_routing_core, record_quota_use
 
 BACKLOG = 512  # connections that wait in the system's queue
-CLOCK_LOOK_S = 1.0  # the wall clock is looked at this often
-LEAVE_SLACK_MS = 500.0  # what is owed is waited for this long past the longest outer limit
-
-
-def decider(kind: Callable[..., FrontEnd], now: float, seed: int, found: dict[str, Any]) -> FrontEnd:
-    """The module's instance for these sections; `kind` is FrontEnd or a baseline of its shape."""
-    place, fleet, keeping = (found[s] for s in ("front_end", "fleet", "keeping"))
-    cold, ration, made = found["cold"], found["ration"], terms.make(found)
-    return kind(
-        now,
-        seed,
-        Place(place.number, place.peers, fleet.zones.index(place.zone)),
-        made.request_classes,
-        made.tenants,
-        made.capabilities,
-        Keeping(
-            keeping.answers_miss,
-            keeping.load_requests,
-            keeping.least_keep_ms,
-            keeping.load_request_timeout_ms,
-            keeping.idle_price,
-        ),
-        ColdRule(cold.multiple, cold.span_ms, cold.start_share, cold.warm_ms),
-        LoadRation(ration.window_ms, ration.free, ration.share),
-    )
-
-
-USES_APART_MS = 20.0  # uses of the same part are noted no more often
-
-
-def note_uses(front_end: FrontEnd, note: Callable[..., Any]) -> None:
-    """Each use of the part in a decision, for a rehearsal's record: what was really gone by, and when."""
-    inner, last = front_end.gate.share, [-1.0, 0.0]
-
-    def share(now: float) -> float:
-        found = inner(now)
-        if found != last[0] or now >= last[1] + USES_APART_MS:
-            last[:] = found, now
-            note("use", share=found)
-        return found
-
-    front_end.gate.share = share
+CLOCK_CHECK_S = 1.0  # the wall clock is checked this often
+SHUTDOWN_SLACK_MS = 500.0  # unanswered requests are waited for this long past the longest deadline
+FLUSH_S = 0.05  # for the last answers to leave their transports
 
 
 class FrontEndService(service.Service):
-    """Intake, host, links and the registry's follower of one front end."""
+    """Listener, dispatcher, channels and registry client of one front end."""
 
     def __init__(
         self,
         reactor: interfaces.IReactorTime,
-        found: dict[str, Any],
+        sections: dict[str, Any],
         log,
         kind: Callable[..., FrontEnd] = FrontEnd,
         meter: Callable[[], float] | None = None,
@@ -81,79 +46,102 @@
         note: Callable[..., Any] | None = None,
         unix_ahead_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """`note` writes a rehearsal's record of what the fleet's members held and used; `unix_ahead_s`: how
-        far the wall clock has been stepped ahead of the reactor's."""
-        self.reactor, self.found, self.log, self.kind, self.meter = reactor, found, log, kind, meter
-        self.note, self.fleet, self.policy = note, None, None
+        """`sections`: the checked settings. `note` writes a rehearsal's record of what the fleet's members held
+        and used; `unix_ahead_s`: how far the wall clock has been stepped ahead of the reactor's."""
+        self.reactor = reactor
+        self.sections = sections
+        self.log = log
+        self.kind = kind
+        self.meter = meter
+        self.note = note
+        self.fleet: FleetService | None = None
+        self.policy = None  # the policy service, where the settings have a section for it
         self.unix_ahead_s = unix_ahead_s
-        self.clock_watch = None
+        self.clock_check: interfaces.IDelayedCall | None = None
         self.process = process or uuid.uuid4().hex[:12]
         self.port: interfaces.IListeningPort | None = None
 
     def startService(self) -> None:
         """Raises twisted.internet.error.CannotListenError if the port is taken."""
-        found, place, fleet = self.found, self.found["front_end"], self.found["fleet"]
-        process = self.process
+        place = self.sections["front_end"]
         random_source = random.Random(f"{place.seed}/{place.name}/links")
+        self.active_policy = make_policy(self.sections)
+        self.dispatcher = self._new_dispatcher(random_source)
+        if "peers" in self.sections:
+            self._join(self.sections["peers"], place.name)
+        self._listen()
+        self.registry_client = self._new_registry_client(random_source)
+        super().startService()
+        self._check_clock()
+        self.log.info(
+            "front end started",
+            address=self.sections["listen"].address,
+            port=self.port.getHost().port,
+            process=self.process,
+        )
+
+    def _new_dispatcher(self, random_source: random.Random) -> Dispatcher:
+        place = self.sections["front_end"]
+        fleet = self.sections["fleet"]
         now = self.reactor.seconds() * 1e3
-        self.made = terms.make(found)
-        self.host = Dispatcher(
+        return Dispatcher(
             self.reactor,
-            decider(self.kind, now, place.seed, found),
+            new_routing_core(self.kind, now, place.seed, self.sections),
             place.name,
-            process,
-            self.made.request_class_names,
-            self.made.tenant_names,
+            self.process,
+            self.active_policy.request_class_names,
+            self.active_policy.tenant_names,
             fleet.zones,
             fleet.machines,
-            found["keeping"].load_request_timeout_ms,
+            self.sections["keeping"].load_request_timeout_ms,
             connector(self.reactor),
             random_source,
             self.log,
             self.meter,
             unix_ahead_s=self.unix_ahead_s,
         )
-        if "peers" in found:
-            self._join(found["peers"], place.name)
-        self.intake = HttpListener(self.made.asks, self._take, lambda: self.host.unanswered, self.log)
+
+    def _listen(self) -> None:
+        self.http_listener = HttpListener(
+            self.active_policy.reader, self._accept, lambda: self.dispatcher.unanswered, self.log
+        )
         if self.policy is not None:
-            self.intake.terms = self.policy.look
-        listen = found["listen"]
-        self.port = listen_tcp(self.reactor, listen.port, self.intake, BACKLOG, listen.address, self.log)
-        registry = found["roster"]
-        self.follower = RegistryClient(
-            place.name,
-            process,
+            self.http_listener.policy_retry_ms = self.policy.look
+        listen = self.sections["listen"]
+        self.port = listen_tcp(
+            self.reactor, listen.port, self.http_listener, BACKLOG, listen.address, self.log
+        )
+
+    def _new_registry_client(self, random_source: random.Random) -> RegistryClient:
+        registry = self.sections["roster"]
+        return RegistryClient(
+            self.sections["front_end"].name,
+            self.process,
             registry.address,
             registry.port,
             self.reactor,
             connector(self.reactor),
             random_source,
-            self.host.executors_listed,
+            self.dispatcher.executors_listed,
             self.log,
         )
-        super().startService()
-        self._watch_clock()
-        self.log.info(
-            "front end started", address=listen.address, port=self.port.getHost().port, process=process
-        )
 
-    def _join(self, wanted, name: str) -> None:
-        """Before anything else is listened on or used: whoever finds the port refusing counts on it."""
-        host = self.host
+    def _join(self, settings, name: str) -> None:
+        """Join the peers before anything else listens: whoever finds the port refusing counts on it."""
+        dispatcher = self.dispatcher
         self.fleet = FleetService(
             self.reactor,
-            Listed(name, wanted.address, wanted.port),
-            wanted.fleet,
-            [Listed(m.name, m.address, m.port) for m in wanted.members],
+            Listed(name, settings.address, settings.port),
+            settings.fleet,
+            [Listed(member.name, member.address, member.port) for member in settings.members],
             new_token(),
-            random.Random(f"{self.found['front_end'].seed}/{name}/members"),
+            random.Random(f"{self.sections['front_end'].seed}/{name}/members"),
             self.log,
-            lambda part: host.front_end.part_told(host.now(), part),
+            lambda part: dispatcher.front_end.part_told(dispatcher.now(), part),
             self.note,
         )
-        if "policy" in self.found:
-            self._vote(self.found["policy"])
+        if "policy" in self.sections:
+            self._prepare_policy(self.sections["policy"])
         self.fleet.startService()
         if self.policy is not None:
             try:
@@ -161,101 +149,127 @@
             except Exception:
                 self.fleet.stopService()
                 raise
-        if self.note is not None and isinstance(host.front_end, FrontEnd):
-            note_uses(host.front_end, self.note)
+        if self.note is not None and isinstance(dispatcher.front_end, FrontEnd):
+            record_quota_use(dispatcher.front_end, self.note)
 
-    def _vote(self, wanted) -> None:
-        """Terms that are changed by all members or by none."""
+    def _prepare_policy(self, settings) -> None:
+        """Take part in the policy that all members change together, or none."""
         from ..policy.document import canonical, digest
         from ..policy.policy_holder import Terms
         from ..policy.service import PolicyService
 
-        document = canonical(self.found)
+        document = canonical(self.sections)
         self.policy = PolicyService(
-            self.reactor, self.fleet, wanted.keepers, wanted.file,
-            Terms(0, digest(document), (self.made, document)), document, self._made, self._adopted, self.log,
+            self.reactor,
+            self.fleet,
+            settings.keepers,
+            settings.file,
+            Terms(0, digest(document), (self.active_policy, document)),
+            document,
+            self._policy_from,
+            self._policy_adopted,
+            self.log,
             self.note,
-        )  # fmt: skip
-        self.fleet.door, self.fleet.versions = self.policy.door, self.policy.others_run
+        )
+        self.fleet.door = self.policy.door
+        self.fleet.versions = self.policy.others_run
 
-    def _made(self, document: str) -> tuple[Any, bool]:
-        """All that taking requests under this document needs. Raises ValueError."""
+    def _policy_from(self, document: str) -> tuple[Any, bool]:
+        """Make all that accepting requests under this document needs. Raises ValueError."""
         from ..policy.document import read
         from ..settings.reading import SettingsError
 
         try:
-            found = read(document, self.found)
-        except SettingsError as fault:
-            raise ValueError(str(fault)) from fault
-        return (terms.make(found, self.made), document), found["adoption"].silent == "stop"
+            sections = read(document, self.sections)
+        except SettingsError as error:
+            raise ValueError(str(error)) from error
+        stops_when_silent = sections["adoption"].silent == "stop"
+        return (make_policy(sections, self.active_policy), document), stops_when_silent
 
-    def _adopted(self, told) -> None:
-        """One assignment for each part, in one turn, after all that can fail has been done."""
-        made = self.made = told.made[0]
-        self.host.policy_changed(
-            made.request_classes, made.tenants, made.request_class_names, made.tenant_names, made.capabilities
+    def _policy_adopted(self, adopted) -> None:
+        """Change over in one turn, after all that can fail has been done."""
+        policy = adopted.made[0]
+        self.active_policy = policy
+        self.dispatcher.policy_changed(
+            policy.request_classes,
+            policy.tenants,
+            policy.request_class_names,
+            policy.tenant_names,
+            policy.capabilities,
         )
-        self.intake.asks = made.asks
+        self.http_listener.reader = policy.reader
 
-    def _watch_clock(self) -> None:
-        self.host.check_wall_clock()
-        self.clock_watch = self.reactor.callLater(CLOCK_LOOK_S, self._watch_clock)
+    def _check_clock(self) -> None:
+        self.dispatcher.check_wall_clock()
+        self.clock_check = self.reactor.callLater(CLOCK_CHECK_S, self._check_clock)
 
-    def _take(self, ask: ReceivedRequest, content_type: str, body: bytes) -> defer.Deferred[Answer]:
+    def _accept(self, received: ReceivedRequest, content_type: str, body: bytes) -> defer.Deferred[Answer]:
         if self.policy is not None and self.note is not None:
             under = self.policy.terms
-            self.note("took", fe=self.found["front_end"].name, version=under.version, digest=under.digest,
-                      m=ask.mark)  # fmt: skip
-        return self.host.take(
-            ask.request_class,
-            ask.tenant,
-            ask.function,
-            ask.mark,
-            ask.remaining_ms,
-            ask.work_ms,
-            ask.repeat,
+            self.note(
+                "took",
+                fe=self.sections["front_end"].name,
+                version=under.version,
+                digest=under.digest,
+                m=received.idempotency_key,
+            )
+        return self.dispatcher.take(
+            received.request_class,
+            received.tenant,
+            received.function,
+            received.idempotency_key,
+            received.remaining_ms,
+            received.cost_estimate_ms,
+            received.repeat,
             content_type,
             body,
         )
 
     @defer.inlineCallbacks
     def stopService(self):
-        """Stops the intake, answers what is owed, leaves. The Deferred fires when all is done."""
+        """Shut down gracefully: stop listening, answer what is open, close all connections.
+
+        The Deferred fires when all is done."""
         super().stopService()
-        owed = self.host.unanswered
-        self.log.info("front end leaves", owed=owed)
-        self.intake.leaving = True  # connections that are kept open get rejects
+        unanswered = self.dispatcher.unanswered
+        self.log.info("front end leaves", unanswered=unanswered)
+        self.http_listener.draining = True  # connections that are kept open get rejections
         yield defer.maybeDeferred(self.port.stopListening)
         if self.policy is not None:
             self.policy.leaving()
-        wait = self.host.all_answered()
-        longest = self.made.longest_ms + LEAVE_SLACK_MS
-        timer = self.reactor.callLater(longest / 1e3, wait.cancel)
-        try:
-            yield wait
-        except defer.CancelledError:
-            self.log.error("answers owed past every outer limit", owed=self.host.unanswered)
-        finally:
-            if timer.active():
-                timer.cancel()
+        yield self._last_answers()
         yield self._flushed()
-        self.follower.close()
-        if self.clock_watch is not None and self.clock_watch.active():
-            self.clock_watch.cancel()
-        self.host.close()
+        self.registry_client.close()
+        if self.clock_check is not None and self.clock_check.active():
+            self.clock_check.cancel()
+        self.dispatcher.close()
         if self.policy is not None:
             self.policy.stopService()
         if self.fleet is not None:
             yield defer.maybeDeferred(self.fleet.stopService)
         self.log.info(
             "front end left",
-            answered=owed,
-            counts=dict(sorted(self.host.counts.items())),
-            deciding_ms=round(self.host.deciding_s * 1e3, 3),
+            answered=unanswered,
+            counts=dict(sorted(self.dispatcher.counts.items())),
+            deciding_ms=round(self.dispatcher.deciding_s * 1e3, 3),
         )
 
+    @defer.inlineCallbacks
+    def _last_answers(self):
+        """Wait for the answers of all open requests, no longer than their deadlines allow."""
+        wait = self.dispatcher.all_answered()
+        longest_ms = self.active_policy.longest_ms + SHUTDOWN_SLACK_MS
+        timer = self.reactor.callLater(longest_ms / 1e3, wait.cancel)
+        try:
+            yield wait
+        except defer.CancelledError:
+            self.log.error("requests unanswered past their deadline", unanswered=self.dispatcher.unanswered)
+        finally:
+            if timer.active():
+                timer.cancel()
+
     def _flushed(self) -> defer.Deferred:
         """A turn or two for the last answers to leave their transports."""
         flushed: defer.Deferred = defer.Deferred()
-        self.reactor.callLater(0.05, flushed.callback, None)
+        self.reactor.callLater(FLUSH_S, flushed.callback, None)
         return flushed
--- a/tests/compatibility/forms_intake.py
+++ b/tests/compatibility/forms_intake.py
@@ -9,7 +9,8 @@
 from wire_form_cases import Recorder, plain
 
 from petrelway.gateway.answers import Answer, Completion
-from petrelway.gateway.cloudevent_requests import CloudEventReader, FunctionCatalogue, ReceivedRequest
+from petrelway.gateway.cloudevent_requests import CloudEventReader, ReceivedRequest
+from petrelway.gateway.function_catalogue import FunctionCatalogue
 from petrelway.gateway.function_spec import FunctionSpec
 from petrelway.gateway.http_listener import HttpListener
 from petrelway.routing.types import Warmth
@@ -77,9 +78,9 @@
 
 def _untaken() -> dict[str, str]:
     leaving, shut, unready = Conversation(), Conversation(), Conversation()
-    leaving.intake.leaving = True
-    shut.intake.shut = lambda: 230.4
-    unready.intake.terms = lambda: 500.0
+    leaving.intake.draining = True
+    shut.intake.overload_retry_ms = lambda: 230.4
+    unready.intake.policy_retry_ms = lambda: 500.0
     ready_request = "GET /ready HTTP/1.1\r\nhost: x\r\n\r\n"
     return {
         "response.leaving": leaving.ask(REQUEST).response(),
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -241,9 +241,9 @@
 def test_hostile_names_are_shown_and_do_nothing():
     rig = Rig()
     rig.to(1.0)
-    host, now = rig.daemon.host, rig.daemon.now()
+    host, now = rig.daemon.dispatcher, rig.daemon.now()
     for i, name in enumerate(HOSTILE):
-        rig.daemon.host.take(
+        rig.daemon.dispatcher.take(
             0, 0, FunctionSpec(name, 10.0, 1, 0.0), f"{name}\n{name}", 900.0, 1.0, False, "", b""
         )
         rig.daemon.telemetry.changed(now, name, name)
@@ -259,7 +259,7 @@
 def test_a_page_with_ten_thousand_functions_and_many_executors():
     rig = Rig()
     rig.to(1.0)
-    host, now = rig.daemon.host, rig.daemon.now()
+    host, now = rig.daemon.dispatcher, rig.daemon.now()
     for i in range(10_000):
         index, _ = host.functions.enter(f"many-{i}")
         host.known_functions[index] = FunctionSpec(f"many-{i}", 10.0, 1, 0.0)
@@ -289,13 +289,13 @@
 def test_the_daemon_gives_up_by_itself_and_drops_nothing(step, rejected):
     rig = Rig()
     rig.to(2.0)
-    taken = rig.daemon.host.counts["taken"]
+    taken = rig.daemon.dispatcher.counts["taken"]
     seen = rig.daemon.shedder.seen
     rig.daemon.shedder.seen = lambda *state: seen(step * 60.0, *state[1:])
     rig.to(4.0)
-    refused = rig.daemon.intake.counts["refused 503"]
+    refused = rig.daemon.http_listener.counts["refused 503"]
     assert refused == 0 if rejected == 0 else refused > 10
-    assert (rig.daemon.host.counts["taken"] > taken) == (rejected == 0) or rejected is None
+    assert (rig.daemon.dispatcher.counts["taken"] > taken) == (rejected == 0) or rejected is None
     assert rig.json("/own")["step"] == (2 if rejected == 0 else 5)
     rig.daemon.shedder.seen = seen
     lines = rig.day.play()
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -92,7 +92,7 @@
     assert played.left, "a front end did not leave"
     assert not [x for x in played.log.lines if x[0] == "error"], played.log.lines
     for _, service in played.fronts.values():
-        assert service.host.unanswered == 0
+        assert service.dispatcher.unanswered == 0
     asked = {x["m"] for x in lines if x["k"] == "due"}
     good = {f"{x['_source']}\n{x['id']}" for x in lines if x["k"] == "answer" and x["o"] == "fulfilled"}
     return lines, len(good) / len(asked)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -29,7 +29,7 @@
     played, lines, faults = play(tree)
     assert not faults, [f[:4] for f in faults[:5]]
     assert not played.log.lines, played.log.lines[:3]
-    assert all(front.host.unanswered == 0 for front in played.fronts.values())
+    assert all(front.dispatcher.unanswered == 0 for front in played.fronts.values())
     asked = {x["m"] for x in lines if x["k"] == "due"}
     good = {f"{x['_source']}\n{x['id']}" for x in lines if x["k"] == "answer" and x["o"] == "fulfilled"}
     return lines, len(good) / len(asked)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -124,11 +124,17 @@
     """As `petrelway serve` joins its peers."""
     assert ports
     me = PLAN.listed(ME)
-    host = SimpleNamespace(now=lambda: reactor.seconds() * 1e3, front_end=SimpleNamespace())
-    host.front_end.part_told = lambda now, part: None
-    found = {"front_end": SimpleNamespace(seed=PLAN.seed, name=me.name)}
+    dispatcher = SimpleNamespace(now=lambda: reactor.seconds() * 1e3, front_end=SimpleNamespace())
+    dispatcher.front_end.part_told = lambda now, part: None
+    sections = {"front_end": SimpleNamespace(seed=PLAN.seed, name=me.name)}
     front = SimpleNamespace(
-        reactor=reactor, host=host, found=found, log=Log(), note=None, policy=None, fleet=None
+        reactor=reactor,
+        dispatcher=dispatcher,
+        sections=sections,
+        log=Log(),
+        note=None,
+        policy=None,
+        fleet=None,
     )
     others = [p for p in PLAN.peers() if p.name != me.name]
     wanted = SimpleNamespace(address=me.address, port=me.port, fleet=FLEET_NAME, members=others)
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -14,7 +14,8 @@
 from petrelway.events.single import ATTRIBUTES_BOUND, EventError, read
 from petrelway.gateway.answers import Answer, Completion
 from petrelway.gateway.backoff import Backoff
-from petrelway.gateway.cloudevent_requests import CloudEventReader, FunctionCatalogue, ReceivedRequest
+from petrelway.gateway.cloudevent_requests import CloudEventReader, ReceivedRequest
+from petrelway.gateway.function_catalogue import FunctionCatalogue
 from petrelway.gateway.function_spec import FunctionSpec
 from petrelway.gateway.http_listener import BODY_BOUND, HttpListener
 from petrelway.gateway.registry_client import RegistryClient
@@ -102,7 +103,12 @@
     for answer, status, headers in table:
         assert rig.event(body=b"7") is None
         ask, content_type, body, deferred = rig.taken.pop()
-        assert (ask.function.name, ask.mark, ask.remaining_ms, body) == ("f", "/gw\n1", 3000.0, b"7")
+        assert (ask.function.name, ask.idempotency_key, ask.remaining_ms, body) == (
+            "f",
+            "/gw\n1",
+            3000.0,
+            b"7",
+        )
         deferred.callback(answer)
         got, told, _ = rig.response()
         assert got == status and told["petrelway-outcome"] == answer.completion
@@ -167,8 +173,8 @@
     """Danger: past its bounds a process that reads each event before it rejects it has no time to serve any.
     At twice what it carries 3 to 11% was succeeded."""
     rig = Rig()
-    rig.intake.shut = lambda: 230.4
-    rig.intake.asks = None  # whoever reads an event fails
+    rig.intake.overload_retry_ms = lambda: 230.4
+    rig.intake.reader = None  # whoever reads an event fails
     for changes in ({}, {"tariff": "x"}, {"specversion": None}):
         status, headers, _ = rig.event(changes)
         assert (status, headers["petrelway-taken"], headers["petrelway-retry-ms"]) == (503, "no", "231")
@@ -194,7 +200,7 @@
     rig.channel.connectionLost(lost())
     assert len(rig.cancelled) == 1 and rig.log.lines == []
     rig.connect()
-    rig.intake.leaving = True
+    rig.intake.draining = True
     status, headers, _ = rig.event()
     assert status == 503 and headers["petrelway-taken"] == "no" and len(rig.taken) == 1
 
