--- a/petrelway/common/index_table.py
+++ b/petrelway/common/index_table.py
@@ -1,4 +1,7 @@
-"""Ids from outside and the small indices that stand for them at the door."""
+"""Ids from outside and the small indices that stand for them inside.
+
+Where requests, executors and functions enter a process (dispatcher, simulator adapter) they get an index here.
+"""
 
 from __future__ import annotations
 
@@ -6,22 +9,31 @@
 
 
 class IndexTable:
-    """Outside ids and the small indices that stand for them; freed indices are used anew."""
+    """Outside ids and their indices; freed indices are used anew.
+
+    >>> table = IndexTable()
+    >>> table.add("a"), table.add("b"), table.add("a")
+    ((0, True), (1, True), (0, False))
+    >>> table.release([0]); table.add("c")
+    (0, True)
+    """
 
     def __init__(self) -> None:
-        self.index: dict[Any, int] = {}
-        self.wire: dict[int, Any] = {}
+        self.indices: dict[Any, int] = {}  # by outside id
+        self.outside_ids: dict[int, Any] = {}  # by index
         self.free: list[int] = []
 
-    def enter(self, wire: Any) -> tuple[int, bool]:
-        """The index of an id, and whether it is new."""
-        if wire in self.index:
-            return self.index[wire], False
-        index = self.free.pop() if self.free else len(self.wire)
-        self.index[wire], self.wire[index] = index, wire
+    def add(self, outside_id: Any) -> tuple[int, bool]:
+        """Return the index of an id, and whether it is new."""
+        if outside_id in self.indices:
+            return self.indices[outside_id], False
+        index = self.free.pop() if self.free else len(self.outside_ids)
+        self.indices[outside_id] = index
+        self.outside_ids[index] = outside_id
         return index, True
 
-    def leave(self, indices: list[int]) -> None:
+    def release(self, indices: list[int]) -> None:
+        """Forget the ids of these indices."""
         for index in indices:
-            del self.index[self.wire.pop(index)]
+            del self.indices[self.outside_ids.pop(index)]
             self.free.append(index)
--- a/petrelway/console/pages.py
+++ b/petrelway/console/pages.py
@@ -40,9 +40,9 @@
     rows: list[dict[str, Any]] = []
     minute = d.telemetry.service(now, 60).get("executor", {})
     yield
-    for row in explainer.executors(host.front_end, host.executors.wire, host.zones.wire, now):
+    for row in explainer.executors(host.front_end, host.executors.outside_ids, host.zones.outside_ids, now):
         row["last minute"] = minute.get(row["executor"], {})
-        link = host.channels.get(host.executors.index.get(row["executor"], -1))
+        link = host.channels.get(host.executors.indices.get(row["executor"], -1))
         row["link"] = "up" if link is not None and link.ready else "down"
         row["executor"] = short(row["executor"])
         rows.append(row)
@@ -62,7 +62,7 @@
     rows = []
     for index in sorted(found, key=known.__getitem__)[start : start + ROWS_BOUND]:
         if index in host.front_end.functions:
-            row = explainer.function(host.front_end, index, known[index], host.executors.wire, now)
+            row = explainer.function(host.front_end, index, known[index], host.executors.outside_ids, now)
             row["function"] = short(row["function"])
             rows.append(row)
         yield
--- a/petrelway/emulator/executor_channel.py
+++ b/petrelway/emulator/executor_channel.py
@@ -13,7 +13,7 @@
 from ..gateway.attempt_ledger import AttemptKey
 from ..gateway.backoff import Backoff
 from ..gateway.channel_base import NO_LOAD, ChannelListener, ChannelReports, QuestionKind
-from ..gateway.executor_channel import GREETING_MS, RETRY_LEAST_MS, RETRY_MOST_MS
+from ..gateway.executor_channel import GREETING_TIMEOUT_MS, RETRY_LEAST_MS, RETRY_MOST_MS
 from ..routing.types import Outcome
 from .network import DIAL_MS, Network
 
@@ -145,7 +145,7 @@
 
 
 class EmulatedLink(ChannelReports):
-    """One front end's link to one executor. Its arguments are those of front.links.Link; `connect` is the
+    """One front end's link to one executor. Its arguments are those of gateway.executor_channel.ExecutorChannel; `connect` is the
     front end's place in the emulation, `port` the number of the executor's post."""
 
     __slots__ = (
@@ -236,7 +236,7 @@
         if wire.life.machine is not None:
             wire.life.machine.cancel_attempt(wire, serial, number)
 
-    def order(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
+    def request_load(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
         wire = self._connected()
         if wire is None:
             return Outcome.UNREACHABLE
@@ -286,7 +286,7 @@
         if not reached:
             wait_ms = DIAL_MS
         elif life.machine is not None:
-            wait_ms = GREETING_MS  # it accepts and says nothing
+            wait_ms = GREETING_TIMEOUT_MS  # it accepts and says nothing
         else:
             wait_ms = network.arrival(now, life.post.zone, place.zone, now) - now
         self.dialling[-1, -1] = None
--- a/petrelway/gateway/attempt_ledger.py
+++ b/petrelway/gateway/attempt_ledger.py
@@ -1,8 +1,8 @@
-"""What the end of a attempt proves, without I/O: the ledger of one connection's lifetime.
+"""What the end of an attempt proves, without I/O: the ledger of one connection's lifetime.
 
-Rule 2 rests on it: UNREACHABLE and UNSENT say that a attempt never ran, so they may be said only of
-one of which no byte was handed to the transport. From the hand-over on, a broken link is RESET: the
-bytes may lie in a kernel's buffer, on the way, or at the executor.
+Rule 2 (what may have run is not sent again) rests on it: UNREACHABLE and UNSENT say that an attempt never ran,
+so they may be said only of one of which no byte was handed to the transport. From the hand-over on, a broken
+connection means RESET: the bytes may lie in a kernel's buffer, on the way, or at the executor.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 from ..routing.types import Outcome
 
-AttemptKey = tuple[int, int]  # request's serial, number of the attempt
+AttemptKey = tuple[int, int]  # the request's serial, the number of the attempt
 
 
 class AttemptLedger:
-    """Attempts of one link: waiting here, or handed over. Each key ends exactly once.
+    """Attempts of one channel or connection: waiting here, or handed over. Each key ends exactly once.
 
-    >>> ledger = Ledger(bound=2)
+    >>> ledger = AttemptLedger(bound=2)
     >>> ledger.wait((1, 0)), ledger.wait((2, 0)), ledger.wait((3, 0))
     (True, True, False)
-    >>> ledger.hand_over(), ledger.broke()
+    >>> ledger.hand_over(), ledger.end_all()
     ((1, 0), [((1, 0), <Outcome.RESET: 5>), ((2, 0), <Outcome.UNREACHABLE: 4>)])
     """
 
@@ -30,14 +30,14 @@
         self.handed: dict[AttemptKey, None] = {}
 
     def wait(self, key: AttemptKey) -> bool:
-        """Take one in; False if too many wait: it is UNSENT at once."""
+        """Take one in; return False if too many wait: it is UNSENT at once."""
         if len(self.waiting) >= self.bound:
             return False
         self.waiting[key] = None
         return True
 
     def hand_over(self) -> AttemptKey | None:
-        """The next one to write; from here on it may have run."""
+        """Return the next one to write; from here on it may have run."""
         if not self.waiting:
             return None
         key, _ = self.waiting.popitem(last=False)
@@ -45,11 +45,11 @@
         return key
 
     def ended(self, key: AttemptKey) -> bool:
-        """The executor's word on one; False if it is not out (a late, doubled or invented word)."""
+        """Note the executor's word on one; return False if it is late, doubled or invented."""
         return self.handed.pop(key, self) is None
 
     def abandon(self, key: AttemptKey, outcome: Outcome) -> tuple[bool, Outcome] | None:
-        """Its time is up or it is withdrawn: was it handed over, and its outcome; None if not out.
+        """Drop one that timed out or is cancelled: was it handed over, and its outcome; None if not in flight.
 
         One that still waited here is UNSENT, whatever the cause: no byte of it left.
         """
@@ -59,8 +59,8 @@
             return True, outcome
         return None
 
-    def broke(self) -> list[tuple[AttemptKey, Outcome]]:
-        """The connection ended or never came up: all that was out, with what that proves of each."""
+    def end_all(self) -> list[tuple[AttemptKey, Outcome]]:
+        """The connection ended or never came up: return all that was in flight, with what that proves of each."""
         ends = [(key, Outcome.RESET) for key in self.handed]
         ends += [(key, Outcome.UNREACHABLE) for key in self.waiting]
         self.handed.clear()
--- a/petrelway/gateway/channel_base.py
+++ b/petrelway/gateway/channel_base.py
@@ -1,6 +1,7 @@
-"""What every link to an executor tells its host when there is no answer, written once for all links.
+"""What every channel to an executor reports when there is no answer, written once for all channels.
 
-`gateway/executor_channel.py`, `node/executor_pool.py` and `emulator/executor_channel.py` build on it. Only links call it; the host listens.
+`gateway/executor_channel.py`, `node/executor_pool.py` and `emulator/executor_channel.py` build on it. Only
+channels call it; the dispatcher listens.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from .attempt_ledger import AttemptKey
 from .connection_end_reasons import EndReason
 
-CLOGGED_MS = 2000.0  # a connection that takes no byte for so long is broken off
-BUFFER_BYTES = 1 << 18  # bytes handed to a transport before it asks us to pause
-NO_LOAD = Load()  # of what no executor told
+CLOGGED_MS = 2000.0  # a connection that takes no byte for so long is closed
+BUFFER_BYTES = 1 << 18  # bytes handed to a transport before it asks for a pause
+NO_LOAD = Load()  # of an attempt that no executor reported on
 
 
 class ChannelListener(Protocol):
-    """What a link tells its host. Times in ms."""
+    """What a channel reports to its dispatcher. Times in ms."""
 
     def attempt_ended(
         self,
@@ -32,19 +33,27 @@
         load: Load,
         content_type: str,
         body: bytes,
-    ) -> None: ...
+    ) -> None:
+        """An attempt ended."""
+        ...
 
     def left_ms(self, key: AttemptKey) -> float:
-        """Of a attempt that waited here: the client's time left, 0 if it must not go out any more."""
+        """Return the client's time left for an attempt that waited here, 0 if it must not go any more."""
         ...
 
-    def load_request_answered(self, executor: int, order: int, outcome: Outcome, replicas: int) -> None: ...
+    def load_request_answered(
+        self, executor: int, load_request_id: int, outcome: Outcome, replicas: int
+    ) -> None:
+        """A load request ended."""
+        ...
 
-    def probe_answered(self, executor: int, probe: int, outcome: Outcome, load: Load) -> None: ...
+    def probe_answered(self, executor: int, probe: int, outcome: Outcome, load: Load) -> None:
+        """A health check ended."""
+        ...
 
 
 class QuestionKind(Enum):
-    """What else than a attempt an executor is asked."""
+    """What an executor is asked besides attempts."""
 
     LOAD = "load"
     PROBE = "probe"
@@ -59,59 +68,60 @@
     listener: ChannelListener
 
     def report_unanswered(self, key: AttemptKey, outcome: Outcome) -> None:
-        """A attempt ended without an answer."""
+        """Report an attempt that ended without an answer."""
         self.listener.attempt_ended(self.executor, key, outcome, 0, 0, NO_LOAD, "", b"")
 
     def report_reset(self, questions: Iterable[tuple[int, QuestionKind]]) -> None:
-        """The connection broke under these questions, by their ids."""
-        for id, question in questions:
-            if question is QuestionKind.LOAD:
+        """Report that the connection broke under these questions, by their ids."""
+        for id, kind in questions:
+            if kind is QuestionKind.LOAD:
                 self.listener.load_request_answered(self.executor, id, Outcome.RESET, 0)
             else:
                 self.listener.probe_answered(self.executor, id, Outcome.RESET, NO_LOAD)
 
 
 class SocketChannelReports(ChannelReports):
-    """The same for a link on sockets: its outages in the log, and the end of waiting for a connection."""
+    """The same for a channel on sockets: its outages in the log, and the end of waiting for a connection."""
 
     __slots__ = ()
 
     stable: str
     address: str
     port: int
-    said_down: bool
-    said_reasons: set[EndReason]
+    outage_logged: bool
+    logged_reasons: set[EndReason]
 
     def log_down(self, reason: EndReason, detail: str = "") -> None:
-        """One line for each cause of an executor's outages; how often stands in the counts."""
-        if not self.said_down and reason not in self.said_reasons:
-            self.said_reasons.add(reason)
+        """Write one line for each cause of an executor's outages; the counts say how often."""
+        if not self.outage_logged and reason not in self.logged_reasons:
+            self.logged_reasons.add(reason)
             more = {"detail": detail} if detail else {}
             self.log.warning(
-                "link down",
+                "executor channel down",
                 executor=self.stable,
                 address=self.address,
                 port=self.port,
                 reason=reason.value,
                 **more,
             )
-            self.said_down = True
+            self.outage_logged = True
 
     def log_up(self) -> None:
-        """The end of an outage that was logged."""
-        if self.said_down:
-            self.log.info("link up", executor=self.stable)
-            self.said_down = False
+        """Write the end of an outage that was logged."""
+        if self.outage_logged:
+            self.log.info("executor channel up", executor=self.stable)
+            self.outage_logged = False
 
-    def drain(
+    def send_waiting(
         self,
         waiting: dict[AttemptKey, object],
         writable: Callable[[], bool],
         hand_over: Callable[[float], None],
     ) -> int:
-        """What has waited goes out if it still may; how many may not. Danger: meanwhile the client may have
-        left, its time be over, the executor drain, a mark against repeats have run out, a cold one's budget
-        be used."""
+        """Hand over what has waited, if it may still go; return how many may not.
+
+        Meanwhile the client may have left, its time be over, the executor drain, a deduplication window have
+        ended, or the budget of an executor in slow start be used."""
         expired = 0
         while waiting and writable():
             key = next(iter(waiting))
--- a/petrelway/gateway/dispatcher.py
+++ b/petrelway/gateway/dispatcher.py
@@ -86,9 +86,9 @@
         self.zones = IndexTable()
         self.machines = IndexTable()
         for zone in zones:
-            self.zones.enter(zone)
+            self.zones.add(zone)
         for machine in machines:
-            self.machines.enter(machine)
+            self.machines.add(machine)
         self.pending: dict[int, PendingRequest] = {}  # by the request's index
         self.channels: dict[int, ExecutorChannel] = {}  # by the executor's index
         self.known_functions: dict[int, FunctionSpec] = {}  # by the function's index
@@ -153,7 +153,7 @@
         now = self.now()
         function_index = self._function_index(function, now)
         self.serial += 1
-        index, _ = self.requests.enter(self.serial)
+        index, _ = self.requests.add(self.serial)
         request = PendingRequest(
             index,
             self.serial,
@@ -185,7 +185,7 @@
 
     def _function_index(self, function: FunctionSpec, now: float) -> int:
         """The function's index; the routing core hears of a new one first."""
-        index, new = self.functions.enter(function.name)
+        index, new = self.functions.add(function.name)
         if new:
             self.known_functions[index] = function
             self.front_end.function_named(
@@ -199,22 +199,22 @@
         now = self.now()
         endpoints = []
         for entry in entries:
-            if entry.stage == "gone" and entry.executor not in self.executors.index:
+            if entry.stage == "gone" and entry.executor not in self.executors.indices:
                 continue
             endpoints.append(self._endpoint_listed(entry, now))
         self.front_end.executors_listed(now, endpoints, complete)
         self._schedule_turn()
 
     def _endpoint_listed(self, entry: EndpointEntry, now: float) -> Endpoint:
-        index, new = self.executors.enter(entry.executor)
+        index, new = self.executors.add(entry.executor)
         started_ms = self.starts.own_ms(now, entry.executor, entry.started_ms)
         if self.observer is not None:
             self._report_change(now, index, entry, started_ms)
         endpoint = Endpoint(
             index,
             entry.executor,
-            self.zones.enter(entry.zone)[0],
-            self.machines.enter(entry.machine)[0],
+            self.zones.add(entry.zone)[0],
+            self.machines.add(entry.machine)[0],
             entry.cell,
             STAGES[entry.stage],
             entry.weight,
@@ -251,7 +251,7 @@
         self.log.warning("wall clock stepped", ahead_s=round(ahead_s, 3))
         now = self.now()
         for executor, started_ms in self.starts.all_own_ms().items():
-            self.front_end.start_told(now, self.executors.index[executor], started_ms)
+            self.front_end.start_told(now, self.executors.indices[executor], started_ms)
 
     def _report_change(self, now: float, index: int, entry: EndpointEntry, started_ms: float) -> None:
         known = self.front_end.executors.get(index)
@@ -283,13 +283,13 @@
             attempt.timer.cancel()
         self.counts[outcome.label] += 1
         if outcome is Outcome.SUCCEEDED:
-            stable = self.executors.wire[executor]
+            stable = self.executors.outside_ids[executor]
             answer = Answer(Completion.SUCCEEDED, 0.0, content_type, body, stable, Warmth(warmth))
             self._answer(request, answer)
         now = self.now()
         if self.observer is not None:
-            name = self.executors.wire[executor]
-            zone = self.zones.wire.get(self.front_end.executors[executor].endpoint.zone, "")
+            name = self.executors.outside_ids[executor]
+            zone = self.zones.outside_ids.get(self.front_end.executors[executor].endpoint.zone, "")
             self.observer.ended(now, serial, name, zone, outcome.label, Warmth(warmth).label)
         took_ms = now - attempt.sent_ms
         self.front_end.attempt_ended(
@@ -298,7 +298,7 @@
         self._schedule_turn()
 
     def _request(self, serial: int) -> PendingRequest | None:
-        return self.pending.get(self.requests.index.get(serial, -1))
+        return self.pending.get(self.requests.indices.get(serial, -1))
 
     def left_ms(self, key: AttemptKey) -> float:
         """The client's time left for an attempt that waited for its connection, 0 if it must not go."""
@@ -413,13 +413,13 @@
             if self.observer is not None:
                 self.observer.released(request.serial)
         for index in free.executors:
-            self.starts.forget(self.executors.wire[index])
+            self.starts.forget(self.executors.outside_ids[index])
             self.channels.pop(index).close()
         for index in free.functions:
             del self.known_functions[index]
-        self.requests.leave(free.requests)
-        self.executors.leave(free.executors)
-        self.functions.leave(free.functions)
+        self.requests.release(free.requests)
+        self.executors.release(free.executors)
+        self.functions.release(free.functions)
 
     def _decision_failed(self, error: Exception, failures: int) -> bool:
         """Fail the request that the routing core cannot decide, so that it doesn't take the others with it.
@@ -465,7 +465,7 @@
         handler(decision, now)
 
     def _report_decision(self, decision: Decision, now: float) -> None:
-        executor = self.executors.wire.get(decision.executor, "")
+        executor = self.executors.outside_ids.get(decision.executor, "")
         request = self.pending[decision.request]
         reason = ""
         if decision.verb is Verb.SEND:
@@ -491,7 +491,7 @@
         self._request_load(decision.executor, decision.function, decision.number, now)
 
     def _carry_out_unload(self, decision: Decision, now: float) -> None:
-        self.channels[decision.executor].unload(self.functions.wire[decision.function])
+        self.channels[decision.executor].unload(self.functions.outside_ids[decision.function])
 
     def _carry_out_probe(self, decision: Decision, now: float) -> None:
         self.load_request_id += 1
@@ -544,7 +544,7 @@
         function = self.known_functions[function_index]
         load_request = LoadRequestInFlight(executor, function_index, now)
         self.load_requests[load_request_id] = load_request
-        failed = self.channels[executor].order(
+        failed = self.channels[executor].request_load(
             load_request_id, function.name, replicas, function.memory_mb, function.lanes
         )
         if failed is not None:
--- a/petrelway/gateway/executor_channel.py
+++ b/petrelway/gateway/executor_channel.py
@@ -1,7 +1,8 @@
-"""Links to executors: one TCP connection each, many attempts at a time.
+"""Channels to executors: one TCP connection each, many attempts at a time.
 
-A link connects as soon as the registry names its executor and again, with backoff, whenever it broke. What it
-tells the host is exact: see proof.py. The clock, the connector and the chance are handed in.
+A channel connects as soon as the registry names its executor and again, with backoff, whenever the connection
+broke. What it reports to the dispatcher of each attempt's end is exact: see attempt_ledger.py. The clock, the
+connector and the random source are handed in.
 """
 
 from __future__ import annotations
@@ -9,67 +10,28 @@
 import random
 from collections.abc import Callable
 
-from twisted.internet import interfaces, protocol
+from twisted.internet import defer, interfaces
 from twisted.python.failure import Failure
-from zope.interface import implementer
 
 from ..routing.types import Outcome
 from ..wire import codec
-from ..wire.framing import Frames, WireError
+from ..wire.framing import WireError
 from .attempt_ledger import AttemptKey, AttemptLedger
 from .backoff import Backoff
-from .channel_base import BUFFER_BYTES, CLOGGED_MS, ChannelListener, QuestionKind, SocketChannelReports
+from .channel_base import CLOGGED_MS, ChannelListener, QuestionKind, SocketChannelReports
 from .connection_end_reasons import EndReason, failure_reason
+from .executor_protocol import ExecutorProtocol
 
 CONNECT_TIMEOUT_MS = 250.0  # a connection that is not up by then counts as unreachable
-WAITING_BOUND = 512  # attempts that wait at one link for a connection or for room
-GREETING_MS = 2000.0  # an executor that accepts and says nothing for so long is no executor
-RETRY_LEAST_MS, RETRY_MOST_MS = 50.0, 1000.0
-LOAD_REQUESTS_BOUND = 256  # orders to load and probes out at one link
-
-
-@implementer(interfaces.IPushProducer)
-class ExecutorProtocol(protocol.Protocol):
-    """Bytes of one connection; as a push producer it hears when the transport's buffer is full."""
-
-    def __init__(self, link: ExecutorChannel) -> None:
-        self.link = link
-        self.frames = Frames()
-        self.paused = False
-
-    def connectionMade(self) -> None:
-        for name, value in (("setTcpNoDelay", True), ("setTcpKeepAlive", True)):
-            getattr(self.transport, name, lambda _: None)(value)
-        if hasattr(self.transport, "bufferSize"):
-            self.transport.bufferSize = BUFFER_BYTES
-        self.transport.registerProducer(self, True)
-        self.link.came_up(self)
-
-    def dataReceived(self, data: bytes) -> None:
-        try:
-            for payload in self.frames.feed(data):
-                codec.from_executor(payload, self.link)
-        except WireError as fault:
-            self.link.faulted(str(fault))
-            self.transport.abortConnection()
-
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
-        self.link.went_down(self, reason)
-
-    def pauseProducing(self) -> None:
-        self.paused = True
-        self.link.clogged()
-
-    def resumeProducing(self) -> None:
-        self.paused = False
-        self.link.cleared()
-
-    def stopProducing(self) -> None:
-        self.paused = True
+WAITING_BOUND = 512  # attempts that wait at one channel for a connection or for room in its buffer
+GREETING_TIMEOUT_MS = 2000.0  # an executor that accepts and sends no welcome for so long is none
+RETRY_LEAST_MS = 50.0  # between two connects, doubling ...
+RETRY_MOST_MS = 1000.0  # ... up to this
+QUESTIONS_BOUND = 256  # load requests and probes in flight on one channel
 
 
 class ExecutorChannel(SocketChannelReports):
-    """One executor's link, whatever connections it lives through."""
+    """One executor's channel, over all connections that follow one another."""
 
     def __init__(
         self,
@@ -85,62 +47,67 @@
         listener: ChannelListener,
         log,
     ) -> None:
-        self.executor, self.stable, self.address, self.port = executor, stable, address, port
-        self.front_end, self.process = front_end, process
-        self.clock, self.connect, self.listener, self.log = clock, connect, listener, log
+        self.executor = executor
+        self.stable = stable
+        self.address = address
+        self.port = port
+        self.front_end = front_end
+        self.process = process
+        self.clock = clock
+        self.connect = connect
+        self.listener = listener
+        self.log = log
         self.backoff = Backoff(random_source, RETRY_LEAST_MS, RETRY_MOST_MS)
         self.ledger = AttemptLedger(WAITING_BOUND)
-        self.frames: dict[
-            AttemptKey, Callable[[float], bytes]
-        ] = {}  # of the waiting ones, by the time left in ms
-        self.load_requests: dict[int, QuestionKind] = {}  # orders to load and probes handed over, by id
-        self.wire: ExecutorProtocol | None = None
+        self.frames: dict[AttemptKey, Callable[[float], bytes]] = {}  # waiting ones, by the time left in ms
+        self.load_requests: dict[int, QuestionKind] = {}  # load requests and probes handed over, by id
+        self.connection: ExecutorProtocol | None = None
         self.ready = False  # the executor has said who it is
         self.closed = False
         self.reason: EndReason | None = None  # why the last connection ended, if this side ended it ...
         self.detail = ""  # ... and more of it, for the log
-        self.said_reasons = set[EndReason]()
-        self.attempt = None  # the connect under way
-        self.timer = None  # the next connect, or the watch on a connection that says or takes nothing
-        self.said_down = False
+        self.logged_reasons = set[EndReason]()
+        self.outage_logged = False
+        self.connecting: defer.Deferred | None = None
+        self.timer: interfaces.IDelayedCall | None = None  # the next connect, or the end of a patient wait
         self.started_ms = 0.0  # of the process at the other end
-        self._dial()
+        self._connect()
 
-    # -- the host's side
+    # -- called by the dispatcher
 
     def send(
         self,
         key: AttemptKey,
-        mark: str,
+        idempotency_key: str,
         function: str,
         memory_mb: float,
         lanes: int,
         request_class: str,
         tenant: str,
         remaining_ms: float,
-        work_ms: float,
+        cost_estimate_ms: float,
         content_type: str,
         body: bytes,
     ) -> None:
-        """Hand a attempt to the executor, at once or when there is a connection with room."""
+        """Hand an attempt to the executor, at once or when there is a connection with room."""
         if self.closed or not self.ledger.wait(key):
             self.report_unanswered(key, Outcome.UNSENT)
             return
-        if self.wire is None and self.attempt is None:
-            # between two tries: danger: holding it hides the outage
+        if self.connection is None and self.connecting is None:
+            # between two connects: an attempt that waited here would hide the outage
             self.ledger.abandon(key, Outcome.UNSENT)
             self.report_unanswered(key, Outcome.UNREACHABLE)
             return
         self.frames[key] = lambda left_ms: codec.send(
             *key,
-            mark,
+            idempotency_key,
             function,
             memory_mb,
             lanes,
             request_class,
             tenant,
             left_ms,
-            work_ms,
+            cost_estimate_ms,
             content_type,
             body,
         )
@@ -148,110 +115,121 @@
             self._hand_over(remaining_ms)
 
     def _writable(self) -> bool:
-        return self.wire is not None and self.ready and not self.wire.paused
+        return self.connection is not None and self.ready and not self.connection.paused
 
     def _hand_over(self, left_ms: float) -> None:
-        """The one that has waited longest."""
-        self.wire.transport.write(self.frames.pop(self.ledger.hand_over())(left_ms))
+        """Write the one that has waited longest."""
+        self.connection.transport.write(self.frames.pop(self.ledger.hand_over())(left_ms))
 
     def cancel_attempt(self, key: AttemptKey, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
-        """Nobody waits any more: what it ended as, or None if it is not out here."""
-        given_up = self.ledger.abandon(key, outcome)
-        if given_up is None:
+        """Nobody waits for it any more: return what it ended as, or None if it is not in flight here."""
+        abandoned = self.ledger.abandon(key, outcome)
+        if abandoned is None:
             return None
-        handed, ended = given_up
+        handed_over, ended = abandoned
         self.frames.pop(key, None)
-        if handed and self.wire is not None:
-            self.wire.transport.write(codec.cancel_attempt(*key))
+        if handed_over and self.connection is not None:
+            self.connection.transport.write(codec.cancel_attempt(*key))
         return ended
 
-    def order(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
-        """An order to load; an outcome if it could not be handed over."""
-        return self._ask(id, QuestionKind.LOAD, codec.order(id, function, replicas, memory_mb, lanes))
+    def request_load(
+        self, id: int, function: str, replicas: int, memory_mb: float, lanes: int
+    ) -> Outcome | None:
+        """Ask for a load; return an outcome if it could not be handed over."""
+        return self._hand_over_question(
+            id, QuestionKind.LOAD, codec.order(id, function, replicas, memory_mb, lanes)
+        )
 
     def probe(self, id: int) -> Outcome | None:
-        """A probe; an outcome if it could not be handed over."""
-        return self._ask(id, QuestionKind.PROBE, codec.probe(id))
+        """Send a health check; return an outcome if it could not be handed over."""
+        return self._hand_over_question(id, QuestionKind.PROBE, codec.probe(id))
 
-    def _ask(self, id: int, question: QuestionKind, frame: bytes) -> Outcome | None:
-        if self.wire is None or not self.ready:
+    def _hand_over_question(self, id: int, kind: QuestionKind, frame: bytes) -> Outcome | None:
+        if self.connection is None or not self.ready:
             return Outcome.UNREACHABLE
-        if self.wire.paused or len(self.load_requests) >= LOAD_REQUESTS_BOUND:
+        if self.connection.paused or len(self.load_requests) >= QUESTIONS_BOUND:
             return Outcome.UNSENT
-        self.load_requests[id] = question
-        self.wire.transport.write(frame)
+        self.load_requests[id] = kind
+        self.connection.transport.write(frame)
         return None
 
     def unload(self, function: str) -> None:
+        """Ask for a function's idle replicas to go; a hint that may be lost."""
         if self._writable():
-            self.wire.transport.write(codec.unload(function))
+            self.connection.transport.write(codec.unload(function))
 
     def forget_load_request(self, id: int) -> bool:
-        """Its time is up; False if it has ended."""
+        """Its time is up; return False if it has ended."""
         return self.load_requests.pop(id, None) is not None
 
     def moved(self, address: str, port: int) -> None:
         """The registry names another place for the same executor."""
         if (address, port) != (self.address, self.port):
-            self.address, self.port = address, port
-            if self.wire is not None:
-                self.wire.transport.abortConnection()
+            self.address = address
+            self.port = port
+            if self.connection is not None:
+                self.connection.transport.abortConnection()
 
     def restarted(self, unix_ms: float, started_ms: float) -> None:
-        """The registry names a process started then; a link to an older one is half open and cannot answer."""
-        if self.wire is not None and self.ready and self.started_ms < unix_ms - 1.0:
+        """The registry names a process that started then; a connection to an older one is half open."""
+        if self.connection is not None and self.ready and self.started_ms < unix_ms - 1.0:
             self.reason = EndReason.RESTARTED
-            self.wire.transport.abortConnection()
+            self.connection.transport.abortConnection()
 
     def close(self) -> None:
-        """Leave for good; what is still out ends here."""
+        """Leave for good; what is still in flight ends here."""
         self.closed = True
         self._stop_timer()
-        if self.attempt is not None:
-            self.attempt.cancel()
-        if self.wire is not None:
-            self.wire.transport.unregisterProducer()  # or the transport would wait for it
-            self.wire.transport.loseConnection()
-        self._end_all()
+        if self.connecting is not None:
+            self.connecting.cancel()
+        if self.connection is not None:
+            self.connection.transport.unregisterProducer()  # or the transport would wait for it
+            self.connection.transport.loseConnection()
+        self._end_attempts()
 
-    # -- the connection's side
+    # -- called by the connection and the codec
 
-    def _dial(self) -> None:
+    def _connect(self) -> None:
         self.timer = None
         if self.closed:
             return
-        self.attempt = attempt = self.connect(
+        self.connecting = connecting = self.connect(
             self.address, self.port, lambda: ExecutorProtocol(self), CONNECT_TIMEOUT_MS
         )
-        attempt.addCallbacks(lambda _: None, self._refused)
+        connecting.addCallbacks(lambda _: None, self._connect_failed)
 
-    def _refused(self, failure: Failure) -> None:
-        self.attempt = None
+    def _connect_failed(self, failure: Failure) -> None:
+        self.connecting = None
         if not self.closed:
-            self._down(failure_reason(failure))
+            self._outage(failure_reason(failure))
 
-    def came_up(self, wire: ExecutorProtocol) -> None:
-        self.attempt = None
+    def connection_made(self, connection: ExecutorProtocol) -> None:
+        """Greet the executor; it has to answer with its welcome."""
+        self.connecting = None
         if self.closed:
-            wire.transport.abortConnection()
+            connection.transport.abortConnection()
             return
-        self.wire, self.ready = wire, False
-        self.reason, self.detail = None, ""
-        wire.transport.write(codec.greeting(self.front_end, self.process))
-        self.timer = self.clock.callLater(GREETING_MS / 1e3, self._timed_out, EndReason.NO_WELCOME)
+        self.connection = connection
+        self.ready = False
+        self.reason = None
+        self.detail = ""
+        connection.transport.write(codec.greeting(self.front_end, self.process))
+        self.timer = self.clock.callLater(GREETING_TIMEOUT_MS / 1e3, self._timed_out, EndReason.NO_WELCOME)
 
     def welcomed(self, executor: str, process: str, machine: str, started_ms: float) -> None:
-        if executor != self.stable:  # danger: a port used anew by another executor must not be trusted
+        """The executor has said who it is: what waited goes out."""
+        if executor != self.stable:  # another executor may have taken the port
             raise WireError(
-                f"{self.address}:{self.port} says it is {executor!r}, the roster says {self.stable!r}"
+                f"{self.address}:{self.port} says it is {executor!r}, the registry says {self.stable!r}"
             )
         self._stop_timer()
-        self.ready, self.started_ms = True, started_ms
+        self.ready = True
+        self.started_ms = started_ms
         self.backoff.succeeded()
         self.log_up()
-        if self.wire is not None and self.wire.paused:
-            self.clogged()
-        self._drain()
+        if self.connection is not None and self.connection.paused:
+            self.writing_paused()
+        self._send_waiting()
 
     def ended(
         self,
@@ -264,59 +242,69 @@
         content_type: str,
         body: bytes,
     ) -> None:
+        """The executor's word on an attempt; one that has ended already is ignored."""
         if self.ledger.ended((serial, number)):
             self.listener.attempt_ended(
                 self.executor, (serial, number), Outcome(outcome), warmth, crowd, load, content_type, body
             )
 
     def stood(self, id: int, outcome: int, replicas: int) -> None:
+        """The executor's answer to a load request."""
         if self.load_requests.pop(id, None) is QuestionKind.LOAD:
             self.listener.load_request_answered(self.executor, id, Outcome(outcome), replicas)
 
     def probed(self, id: int, load: codec.Load) -> None:
+        """The executor's answer to a health check."""
         if self.load_requests.pop(id, None) is QuestionKind.PROBE:
             self.listener.probe_answered(self.executor, id, Outcome.SUCCEEDED, load)
 
-    def faulted(self, detail: str) -> None:
-        self.reason, self.detail = EndReason.UNREADABLE, detail
+    def protocol_failed(self, detail: str) -> None:
+        """Note why the connection is about to be closed."""
+        self.reason = EndReason.UNREADABLE
+        self.detail = detail
 
-    def went_down(self, wire: ExecutorProtocol, reason: Failure) -> None:
-        if wire is not self.wire:
+    def connection_lost(self, connection: ExecutorProtocol, reason: Failure) -> None:
+        """End what was in flight and connect again later."""
+        if connection is not self.connection:
             return
-        self.wire, self.ready = None, False
+        self.connection = None
+        self.ready = False
         self._stop_timer()
         if not self.closed:
-            self._down(self.reason or failure_reason(reason))
+            self._outage(self.reason or failure_reason(reason))
 
-    def clogged(self) -> None:
+    def writing_paused(self) -> None:
+        """Close a connection that takes no byte for too long."""
         if self.ready and self.timer is None:
             self.timer = self.clock.callLater(CLOGGED_MS / 1e3, self._timed_out, EndReason.TAKES_NO_BYTE)
 
-    def cleared(self) -> None:
+    def writing_resumed(self) -> None:
+        """Write what has waited for room in the buffer."""
         if self.ready:
             self._stop_timer()
-        self._drain()
+        self._send_waiting()
 
     def _timed_out(self, reason: EndReason) -> None:
         self.timer = None
         self.reason = reason
-        if self.wire is not None:
-            self.wire.transport.abortConnection()
+        if self.connection is not None:
+            self.connection.transport.abortConnection()
 
-    def _drain(self) -> None:
-        self.drain(self.frames, self._writable, self._hand_over)
+    def _send_waiting(self) -> None:
+        self.send_waiting(self.frames, self._writable, self._hand_over)
 
-    def _down(self, reason: EndReason) -> None:
+    def _outage(self, reason: EndReason) -> None:
         self.log_down(reason, self.detail)
-        self._end_all()
-        self.timer = self.clock.callLater(self.backoff.failed() / 1e3, self._dial)
+        self._end_attempts()
+        self.timer = self.clock.callLater(self.backoff.failed() / 1e3, self._connect)
 
-    def _end_all(self) -> None:
+    def _end_attempts(self) -> None:
         self.frames.clear()
-        for key, outcome in self.ledger.broke():
+        for key, outcome in self.ledger.end_all():
             self.report_unanswered(key, outcome)
-        load_requests, self.load_requests = self.load_requests, {}
-        self.report_reset(load_requests.items())
+        questions = self.load_requests
+        self.load_requests = {}
+        self.report_reset(questions.items())
 
     def _stop_timer(self) -> None:
         if self.timer is not None:
--- a/petrelway/node/executor_pool.py
+++ b/petrelway/node/executor_pool.py
@@ -182,7 +182,7 @@
 
     def drain(self) -> None:
         """What has waited goes out if it still may."""
-        expired = self.link.drain(self.waiting, self._writable, self._hand_over)
+        expired = self.link.send_waiting(self.waiting, self._writable, self._hand_over)
         if expired:
             self.link.room.counts["waited in vain"] += expired
 
@@ -191,7 +191,7 @@
 
 
 class PlatformLink(SocketChannelReports):
-    """One executor's link. Takes the arguments of front.links.Link, then its own."""
+    """One executor's link. Takes the arguments of gateway.executor_channel.ExecutorChannel, then its own."""
 
     def __init__(
         self,
@@ -222,10 +222,10 @@
         self.not_before_ms = 0.0  # no dial before this
         self.spare_backoff = Backoff(random_source, SPARE_LEAST_MS, SPARE_MOST_MS)
         self.spare_not_before_ms = 0.0  # none ahead of need before this
-        self.said_reasons = set[EndReason]()
+        self.logged_reasons = set[EndReason]()
         self.wires: list[Wire] = []
         self.where: dict[AttemptKey, tuple[Wire, bytes, float]] = {}  # the id there, and since when
-        self.closed = self.left = self.said_down = False
+        self.closed = self.left = self.outage_logged = False
         self.timer = clock.callLater(0, self._sweep)
 
     def now(self) -> float:
@@ -303,7 +303,7 @@
                 w.spent = True
                 w.tidy()
 
-    def order(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
+    def request_load(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
         """An order to load; an outcome if it could not be handed over."""
         return self._ask(id, QuestionKind.LOAD, lambda own: frames.order(own, function, replicas))
 
@@ -430,7 +430,7 @@
             wire.transport.unregisterProducer()
             quietly = reason in QUIET_ENDS and not wire.open
             (wire.transport.loseConnection if quietly else wire.transport.abortConnection)()
-        ends, asked = wire.ledger.broke(), list(wire.asked.values())
+        ends, asked = wire.ledger.end_all(), list(wire.asked.values())
         wire.open.clear()
         wire.asked.clear()
         for key, outcome in ends:
@@ -455,6 +455,6 @@
                 ready = True
         if not ready and now >= self.spare_not_before_ms and self._may_dial():
             self._dial()
-        if self.said_down and any(w.up and now - w.up_ms >= SWEEP_MS for w in self.wires):
+        if self.outage_logged and any(w.up and now - w.up_ms >= SWEEP_MS for w in self.wires):
             # not before: one that accepts and resets would say so without end
             self.log_up()
--- a/petrelway/simulator_adapter/codec.py
+++ b/petrelway/simulator_adapter/codec.py
@@ -42,13 +42,13 @@
         kind, front_end = item[0], self.front_end
         if kind == "knock":
             rid, start_ms, cost_s, ttl_s, lanes, fn, request_class, tenant, marks, memory = item[2:12]
-            function, new = self.functions.enter(fn)
+            function, new = self.functions.add(fn)
             if new:
                 front_end.function_named(now, function, str(fn), memory or 0.0, lanes or 1, start_ms or 0.0)
             hinted = cost_s if cost_s and (marks or 0) & 1 else 0.0
             if not 0 <= (request_class or 0) < len(front_end.request_classes):
                 raise WireError(f"knock names class {request_class}, which the settings do not list")
-            request, _ = self.requests.enter(rid)
+            request, _ = self.requests.add(rid)
             front_end.request_taken(
                 now,
                 request,
@@ -61,7 +61,7 @@
             )
         elif kind == "reportBack":
             rid, number, _, code, delay, finished, remark = (item[2:] + [None])[:7]
-            request, remark = self.requests.index.get(rid), remark or 0
+            request, remark = self.requests.indices.get(rid), remark or 0
             if request is not None:
                 front_end.attempt_ended(
                     now,
@@ -79,12 +79,12 @@
                 endpoints = [self._endpoint(entry) for entry in item[4] or []]
                 front_end.executors_listed(now, endpoints, item[3] != "D")
         elif kind == "dropped":
-            request = self.requests.index.get(item[2])
+            request = self.requests.indices.get(item[2])
             if request is not None:
                 front_end.client_gone(now, request)
         elif kind == "loadDone":
             code, delay, executor, fn, replicas = item[2:7]
-            function = self.functions.index.get(fn)
+            function = self.functions.indices.get(fn)
             if function is not None:
                 front_end.load_request_answered(
                     now,
@@ -103,14 +103,14 @@
         while (decision := self.front_end.decide(now)) is not None:
             found.append(self._action(decision))
         free = self.front_end.released()
-        self.requests.leave(free.requests)
-        self.executors.leave(free.executors)
-        self.functions.leave(free.functions)
+        self.requests.release(free.requests)
+        self.executors.release(free.executors)
+        self.functions.release(free.functions)
         return found
 
     def _action(self, d: Decision) -> list:
-        request, executor = self.requests.wire.get(d.request), self.executors.wire.get(d.executor)
-        function = self.functions.wire.get(d.function)
+        request, executor = self.requests.outside_ids.get(d.request), self.executors.outside_ids.get(d.executor)
+        function = self.functions.outside_ids.get(d.function)
         if d.verb is Verb.SEND:
             return ["forward", self.name, request, executor, d.ms / 1e3]
         if d.verb is Verb.CANCEL:
@@ -133,7 +133,7 @@
         wire, zone, machine, cell, stage, weight, started = (entry + [None, None])[:7]
         if stage not in STAGES:
             raise WireError(f"topology names an unknown state {stage!r}")
-        index, _ = self.executors.enter(wire)
+        index, _ = self.executors.add(wire)
         return Endpoint(
             index,
             wire,
@@ -146,7 +146,7 @@
         )
 
     def _executor(self, wire: str) -> int:
-        return self.executors.index.get(wire, -1)
+        return self.executors.indices.get(wire, -1)
 
 
 def _outcome(code: str) -> Outcome:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -261,7 +261,7 @@
     rig.to(1.0)
     host, now = rig.daemon.dispatcher, rig.daemon.now()
     for i in range(10_000):
-        index, _ = host.functions.enter(f"many-{i}")
+        index, _ = host.functions.add(f"many-{i}")
         host.known_functions[index] = FunctionSpec(f"many-{i}", 10.0, 1, 0.0)
         host.front_end.function_named(now, index, f"many-{i}", 10.0, 1, 0.0)
     status, _, body = rig.get("/functions")
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,7 +11,7 @@
 from petrelway.emulator.network import DIAL_MS, Network
 from petrelway.fakes.fault_script import Happening
 from petrelway.fakes.in_memory_network import Process, World
-from petrelway.gateway.executor_channel import GREETING_MS
+from petrelway.gateway.executor_channel import GREETING_TIMEOUT_MS
 from petrelway.invariants.checker import figures, judge
 from petrelway.routing.router import FrontEnd
 from petrelway.routing.types import NEVER_RAN, Outcome
@@ -129,7 +129,7 @@
     def hangs_and_accepts(rig):
         rig.life.machine.freeze(True)
         rig.send()
-        rig.run(GREETING_MS / 1e3 - 0.1)
+        rig.run(GREETING_TIMEOUT_MS / 1e3 - 0.1)
         assert not rig.ends
 
     def closed(rig):
@@ -177,8 +177,8 @@
     rig.run(0.005)
     assert rig.link.cancel_attempt((1, 0)) is Outcome.CANCELLED and rig.link.cancel_attempt((1, 0)) is None
     assert (
-        rig.link.order(7, "model-1", 1, 300.0, 4) is None
-        and rig.link.order(8, "model-1", 2, 300.0, 4) is None
+        rig.link.request_load(7, "model-1", 1, 300.0, 4) is None
+        and rig.link.request_load(8, "model-1", 2, 300.0, 4) is None
     )
     rig.run(0.01)
     rig.life.die()
@@ -187,7 +187,7 @@
     rig.life.start(cold=True)
     rig.run(1.0)
     rig.send(2)
-    assert rig.link.order(9, "model-2", 1, 300.0, 4) is None
+    assert rig.link.request_load(9, "model-2", 1, 300.0, 4) is None
     rig.run(4.0)
     assert rig.ends == [(2, Outcome.SUCCEEDED)] and rig.load_requests[-1] == (9, Outcome.SUCCEEDED, 1)
     assert len(rig.life.wires) >= 1 and len([w for w in rig.life.wires if w.link is rig.link]) == 1
@@ -195,7 +195,7 @@
 
 def test_what_nobody_reads_is_bounded():
     rig = Rig()
-    rig.link.order(0, "model-0", 1, 300.0, 4)
+    rig.link.request_load(0, "model-0", 1, 300.0, 4)
     rig.run(0.1)
     rig.life.happen(Happening(0.0, "executor", 0, "never read"))
     for i in range(WAITING_BOUND):
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -120,7 +120,7 @@
     assert rig.kinds(serial) == ["fulfilled"] and rig.answers[serial][0].body == b"done"
     assert rig.answers[serial][0].executor == f"e{executor}"
     rig.step(20.0)
-    assert rig.host.pending == {} and rig.host.unanswered == 0 and rig.host.requests.index == {}
+    assert rig.host.pending == {} and rig.host.unanswered == 0 and rig.host.requests.indices == {}
 
 
 def test_one_answer_however_they_race():
@@ -207,7 +207,7 @@
         for e, serial, number, _ in out + rig.sent():
             rig.end(e, serial, 0, number)
         rig.step(50.0)
-        assert rig.host.pending == {} and rig.host.requests.index == {}, seed
+        assert rig.host.pending == {} and rig.host.requests.indices == {}, seed
 
 
 def test_miss_order_and_send_again():
@@ -246,7 +246,7 @@
     rig.step()
     assert {e for e, *_ in rig.sent()} == {0}
     rig.step(7000.0)  # the module forgets a gone executor; its index and its link go
-    assert list(rig.host.channels) == [0] and "e1" not in rig.host.executors.index
+    assert list(rig.host.channels) == [0] and "e1" not in rig.host.executors.indices
 
 
 def test_what_waited_goes_out_only_if_it_still_may():
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -311,7 +311,7 @@
     assert rig.heard == [(3, True)] and "gap" in rig.log.lines[0][1]["reason"]
     rig.up()
     rig.tell(7, True, 2)
-    assert rig.heard[-1] == (2, True) and rig.log.events() == ["roster down", "roster up"]
+    assert rig.heard[-1] == (2, True) and rig.log.events() == ["registry down", "registry up"]
     rig.follower.close()
     rig.wire.connectionLost(lost())
     assert rig.clock.getDelayedCalls() == []
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -5,13 +5,8 @@
 from doubles import Heard, Log, Net, clock, lost
 
 from petrelway.gateway.attempt_ledger import AttemptLedger
-from petrelway.gateway.executor_channel import (
-    BUFFER_BYTES,
-    CLOGGED_MS,
-    GREETING_MS,
-    WAITING_BOUND,
-    ExecutorChannel,
-)
+from petrelway.gateway.channel_base import BUFFER_BYTES, CLOGGED_MS
+from petrelway.gateway.executor_channel import GREETING_TIMEOUT_MS, WAITING_BOUND, ExecutorChannel
 from petrelway.routing.types import NEVER_RAN, Outcome
 from petrelway.wire import codec
 from petrelway.wire.framing import frame
@@ -169,12 +164,12 @@
     rig = Rig().up(name="another")  # danger: a port used anew by another executor
     assert rig.pipe.aborted
     rig.cut()
-    assert rig.log.events() == ["link down"]
+    assert rig.log.events() == ["executor channel down"]
     rig = Rig()
     rig.net.accept()
     rig.send(1)
-    rig.clock.advance(GREETING_MS / 1e3)  # accepted, and says nothing
-    rig.link.wire.connectionLost(lost())
+    rig.clock.advance(GREETING_TIMEOUT_MS / 1e3)  # accepted, and says nothing
+    rig.link.connection.connectionLost(lost())
     assert rig.ears.ends == [((1, 0), Outcome.UNREACHABLE)]
     assert rig.log.lines[0][1]["reason"] == "no welcome"
 
@@ -188,16 +183,16 @@
             rig.clock.advance(0.005)
         waits.append(rig.clock.seconds() - began)
     rig.up()
-    assert rig.log.events() == ["link down", "link up"]
+    assert rig.log.events() == ["executor channel down", "executor channel up"]
     assert waits[0] <= 0.06 and max(waits) <= 1.01 and waits[4] > 4 * waits[0]
 
 
 def test_orders_end_once():
     rig = Rig()
-    assert rig.link.order(1, "f", 1, 1.0, 1) is Outcome.UNREACHABLE
+    assert rig.link.request_load(1, "f", 1, 1.0, 1) is Outcome.UNREACHABLE
     rig.up()
     for id in (2, 3):
-        assert rig.link.order(id, "f", 1, 1.0, 1) is None
+        assert rig.link.request_load(id, "f", 1, 1.0, 1) is None
     assert rig.link.probe(4) is None
     rig.say(
         codec.stood(2, 0, 1) + codec.stood(2, 0, 1) + codec.stood(4, 0, 1)
@@ -235,7 +230,7 @@
             elif what == 3 and (end := ledger.abandon(key, Outcome.TIMEOUT)):
                 ends.append((key, end[1]))
             elif what == 4 and random_source.random() < 0.2:
-                ends += ledger.broke()
-        ends += ledger.broke()
+                ends += ledger.end_all()
+        ends += ledger.end_all()
         assert sorted(key for key, _ in ends) == sorted(taken)
         assert all(outcome not in NEVER_RAN or key not in handed for key, outcome in ends)
--- a/tests/test_node_links.py
+++ b/tests/test_node_links.py
@@ -122,11 +122,11 @@
     assert rig.ended() == [((1, 0), Outcome.UNREACHABLE)]
     rig.send(2)  # between two tries: said at once, not held
     assert rig.ended() == [((2, 0), Outcome.UNREACHABLE)]
-    assert rig.log.events() == ["link down"]
+    assert rig.log.events() == ["executor channel down"]
     rig.step(300)
     wire, pipe = rig.up()
     rig.step(2 * links.SWEEP_MS)
-    assert rig.log.events() == ["link down", "link up"]
+    assert rig.log.events() == ["executor channel down", "executor channel up"]
     rig.send(3)
     wire.connectionLost(lost())
     assert rig.ended() == [((3, 0), Outcome.RESET)]
@@ -265,7 +265,7 @@
 def test_orders_have_ids_of_their_own():
     rig = Rig()
     wire, pipe = rig.up()
-    assert rig.link.order(7, FUNCTION, 2, 0.0, 0) is None
+    assert rig.link.request_load(7, FUNCTION, 2, 0.0, 0) is None
     ((code, own, fields, _),) = commands(pipe.take())
     assert (code, fields) == (14, {"key": FUNCTION, "count": "2"})
     rig.send(1, id=own)  # a request whose id meets the order's open id goes elsewhere
@@ -282,13 +282,13 @@
     ):
         rig = Rig()
         wire, pipe = rig.up()
-        rig.link.order(7, FUNCTION, 1, 0.0, 0)
+        rig.link.request_load(7, FUNCTION, 1, 0.0, 0)
         own = commands(pipe.take())[0][1]
         end(rig, wire, own)
         wire.dataReceived(answer(100, own, b"count=2"))
         assert rig.ears.load_requests == expected
     rig = Rig()
-    assert rig.link.order(8, FUNCTION, 1, 0.0, 0) is Outcome.UNREACHABLE
+    assert rig.link.request_load(8, FUNCTION, 1, 0.0, 0) is Outcome.UNREACHABLE
 
 
 def test_ids_given_up_are_bounded():
@@ -297,7 +297,7 @@
     wire, pipe = rig.up()
     for serial in range(links.GIVEN_UP_BOUND):
         assert not pipe.closed
-        rig.link.order(serial, FUNCTION, 1, 0.0, 0)
+        rig.link.request_load(serial, FUNCTION, 1, 0.0, 0)
         rig.link.forget_load_request(serial)
     assert pipe.closed and rig.room.used == 0
 
@@ -350,7 +350,7 @@
             rig.step(links.SWEEP_MS - 10)
             wire.connectionLost(lost())
         rig.step(20)
-    assert 3 < dials < 25 and rig.log.events() == ["link down"], dials
+    assert 3 < dials < 25 and rig.log.events() == ["executor channel down"], dials
 
 
 def test_idle_connections_go_but_one_stays_ready():
