--- a/petrelway/common/deployment_settings.py
+++ b/petrelway/common/deployment_settings.py
@@ -1,8 +1,9 @@
-"""A deployment's terms: the settings object that the simulator and the platform both tell, read once.
+"""A deployment's settings: the object that the simulator and the platform both send, read once.
 
-Used by the drill and by the node; the standard library alone. Unknown keys are let be, as the wire page
-wants; what decides something must be there, of its type and in its range. Durations come in seconds and leave
-as milliseconds. Source: the wire page, "What does an instance know at start?".
+Used by the simulator adapter and by the node; it needs the standard library alone. Unknown keys are
+ignored, as the wire page wants; what decides something must be there, of its type and in its range.
+Durations come in seconds and leave as milliseconds. Source: the wire page, "What does an instance know at
+start?".
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
     Tenant,
 )
 
-EFFECTS = {
+IDEMPOTENCY_BY_EFFECT = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
+SCOPE_BY_NAME = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
 class DeploymentSettings(NamedTuple):
-    """What one front end is told of its deployment. Times in ms; 0: untold."""
+    """What one front end knows of its deployment. Times in ms; 0: unknown."""
 
     place: Place
     request_classes: list[RequestClass]
@@ -49,6 +50,7 @@
     idle_ms: float  # idle connections are closed after this time
 
     def front_end(self, now: float, seed: int) -> FrontEnd:
+        """Make the routing core under these settings."""
         return FrontEnd(
             now,
             seed,
@@ -67,36 +69,41 @@
 
 
 class SettingsReader:
-    """One object of the settings. Danger: what is missing, or read as something else, would change decisions
-    without a word; without the time that an executor is cold, rule 4 would not be kept.
+    """Reads one object of the settings, and names where a fault stands.
+
+    What is missing, or read as something else, would change decisions unnoticed: without the time that an
+    executor warms up, rule 4 (slow start) would not be kept.
 
     >>> SettingsReader({"aimS": "1"}, "settings").number("aimS", 1e3)
     Traceback (most recent call last):
     petrelway.common.deployment_settings.DeploymentSettingsError: settings.aimS: found '1'; allowed: a number from 0 to 1e+09
-    """
+    """  # noqa: E501 - a doctest compares the whole message
 
-    def __init__(self, told: Any, path: str) -> None:
-        self.told, self.path = told, path
-        if type(told) is not dict:
-            raise DeploymentSettingsError(f"{path}: found {told!r:.60}; allowed: an object")
+    def __init__(self, values: Any, path: str) -> None:
+        self.values = values
+        self.path = path
+        if type(values) is not dict:
+            raise DeploymentSettingsError(f"{path}: found {values!r:.60}; allowed: an object")
 
     def read(self, key: str, default: Any = None) -> Any:
-        """null stands for an absent value, as on the whole wire."""
-        value = self.told.get(key)
+        """Return a value; null stands for an absent one, as on the whole wire."""
+        value = self.values.get(key)
         return default if value is None else value
 
-    def fault(self, key: str, allowed: str) -> DeploymentSettingsError:
-        found = f"{self.told[key]!r:.60}" if key in self.told else "nothing"
+    def error(self, key: str, allowed: str) -> DeploymentSettingsError:
+        """Make the error for a value that can't be used."""
+        found = f"{self.values[key]!r:.60}" if key in self.values else "nothing"
         return DeploymentSettingsError(f"{self.path}.{key}: found {found}; allowed: {allowed}")
 
-    def part(self, key: str) -> SettingsReader:
+    def section(self, key: str) -> SettingsReader:
+        """Return the reader of an object inside this one."""
         return SettingsReader(self.read(key), f"{self.path}.{key}")
 
-    def parts(self, key: str) -> list[SettingsReader]:
-        """Objects in a list; none where the key is missing."""
+    def sections(self, key: str) -> list[SettingsReader]:
+        """Return the readers of objects in a list; none where the key is missing."""
         found = self.read(key, [])
         if type(found) is not list:
-            raise self.fault(key, "a list of objects")
+            raise self.error(key, "a list of objects")
         return [SettingsReader(each, f"{self.path}.{key}[{i}]") for i, each in enumerate(found)]
 
     def number(
@@ -107,111 +114,121 @@
         most: float = 1e9,
         default: float | None = None,
     ) -> float:
-        """`default`: for a key that may be missing."""
+        """Return a number times `scale`; `default` is for a key that may be missing."""
         value = self.read(key, default)
-        # what is undefined lies in no range; true and false are no numbers here
+        # NaN lies in no range; true and false are no numbers here
         if type(value) not in (int, float) or not least <= value <= most:
-            raise self.fault(key, f"a number from {least:g} to {most:g}")
+            raise self.error(key, f"a number from {least:g} to {most:g}")
         return float(value) * scale
 
-    def whole(self, key: str, least: int, most: int, default: int | None = None) -> int:
+    def integer(self, key: str, least: int, most: int, default: int | None = None) -> int:
+        """Return a whole number."""
         value = self.read(key, default)
         if type(value) not in (int, float) or not least <= value <= most or value != int(value):
-            raise self.fault(key, f"a whole number from {least} to {most}")
+            raise self.error(key, f"a whole number from {least} to {most}")
         return int(value)
 
     def flag(self, key: str, default: bool | None = None) -> bool:
+        """Return true or false."""
         value = self.read(key, default)
         if type(value) is not bool:
-            raise self.fault(key, "true or false")
+            raise self.error(key, "true or false")
         return value
 
-    def word(self, key: str, words: dict[str, Any]) -> Any:
+    def choice(self, key: str, choices: dict[str, Any]) -> Any:
+        """Return what one of a fixed set of words stands for."""
         value = self.read(key)
-        if type(value) is not str or value not in words:
-            raise self.fault(key, f"one of {', '.join(words)}")
-        return words[value]
+        if type(value) is not str or value not in choices:
+            raise self.error(key, f"one of {', '.join(choices)}")
+        return choices[value]
 
     def name(self, key: str) -> str:
+        """Return a string that is not empty."""
         value = self.read(key)
         if type(value) is not str or not value:
-            raise self.fault(key, "a name")
+            raise self.error(key, "a name")
         return value
 
     def names(self, key: str) -> list[str]:
+        """Return a list of strings; empty where the key is missing."""
         found = self.read(key, [])
         if type(found) is not list or not all(type(each) is str for each in found):
-            raise self.fault(key, "a list of names")
+            raise self.error(key, "a list of names")
         return found
 
 
-LEAST, SECONDS = 1e-6, 1e6  # of a time in seconds that must be one; the longest
+SHORTEST_S = 1e-6  # of a time that must not be 0
+LONGEST_S = 1e6
 
 
-def _request_class(told: SettingsReader) -> RequestClass:
-    idempotency = told.word("effect", EFFECTS)
+def _request_class(settings: SettingsReader) -> RequestClass:
+    idempotency = settings.choice("effect", IDEMPOTENCY_BY_EFFECT)
     keyed = idempotency is Idempotency.KEYED
     return RequestClass(
         idempotency,
-        told.word("dedupScope", SCOPES) if keyed else Scope.ALL,
-        told.number("windowS", 1e3, 0.0, SECONDS) if keyed else 0.0,
-        told.number("aimS", 1e3, LEAST, SECONDS),
-        told.number("deadlineS", 1e3, LEAST, SECONDS),
-        told.number("worth", default=1.0),
-        told.number("lateWorth", default=0.0),
+        settings.choice("dedupScope", SCOPE_BY_NAME) if keyed else Scope.ALL,
+        settings.number("windowS", 1e3, 0.0, LONGEST_S) if keyed else 0.0,
+        settings.number("aimS", 1e3, SHORTEST_S, LONGEST_S),
+        settings.number("deadlineS", 1e3, SHORTEST_S, LONGEST_S),
+        settings.number("worth", default=1.0),
+        settings.number("lateWorth", default=0.0),
     )
 
 
-def read_deployment_settings(settings: Any) -> DeploymentSettings:
+def read_deployment_settings(values: Any) -> DeploymentSettings:
     """Raises DeploymentSettingsError at the first setting that can't be used.
 
     >>> read_deployment_settings({"classes": [{"name": "a", "aimS": 1.0, "effect": "dedup", "dedupScope": "all"}]})
     Traceback (most recent call last):
     petrelway.common.deployment_settings.DeploymentSettingsError: settings.classes[0].windowS: found nothing; allowed: a number from 0 to 1e+06
-    """
-    told = SettingsReader(settings, "settings")
-    classes, orgs = told.parts("classes"), told.parts("orgs")
+    """  # noqa: E501 - a doctest compares the whole message
+    settings = SettingsReader(values, "settings")
+    classes = settings.sections("classes")
+    orgs = settings.sections("orgs")
     if not classes:
-        raise told.fault("classes", "one or more")
-    names, zones = [c.name("name") for c in classes], told.names("zones")
+        raise settings.error("classes", "one or more")
+    names = [request_class.name("name") for request_class in classes]
+    zones = settings.names("zones")
     if len(set(names)) < len(names):
-        raise told.fault("classes", "names that differ")
-    request_classes = [_request_class(c) for c in classes]
-    tenants = [Tenant(o.number("portion", default=0.0), o.number("quotaRps", default=0.0)) for o in orgs]
+        raise settings.error("classes", "names that differ")
+    request_classes = [_request_class(request_class) for request_class in classes]
+    tenants = [
+        Tenant(org.number("portion", default=0.0), org.number("quotaRps", default=0.0)) for org in orgs
+    ]
     place = Place(
-        told.whole("position", 0, 10**6, 0),
-        told.whole("peersTotal", 1, 10**6),
-        told.whole("zone", 0, max(0, len(zones) - 1), 0),
+        settings.integer("position", 0, 10**6, 0),
+        settings.integer("peersTotal", 1, 10**6),
+        settings.integer("zone", 0, max(0, len(zones) - 1), 0),
     )
-    limits, family, rules = (told.part(key) for key in ("limits", "familyInfo", "invariants"))
+    limits, family, rules = (settings.section(key) for key in ("limits", "familyInfo", "invariants"))
     capabilities = Capabilities(
-        limits.whole("sendCap", 1, 1000),
+        limits.integer("sendCap", 1, 1000),
         limits.flag("secondCopies"),
         limits.flag("cancel"),
         limits.flag("probes", False),
         limits.flag("peers", False),
-        limits.number("maxRetryAfterS", 1e3, 0.0, SECONDS) if limits.flag("retryAfter") else 0.0,
+        limits.number("maxRetryAfterS", 1e3, 0.0, LONGEST_S) if limits.flag("retryAfter") else 0.0,
     )
     load_requests = family.flag("loadControl")
     keeping = Keeping(
-        family.word("notLoaded", {"miss": True, "load": False}),
+        family.choice("notLoaded", {"miss": True, "load": False}),
         load_requests,
-        family.number("keepS", 1e3, 0.0, SECONDS),
-        family.number("orderTimeoutS", 1e3, LEAST, SECONDS) if load_requests else 0.0,
+        family.number("keepS", 1e3, 0.0, LONGEST_S),
+        family.number("orderTimeoutS", 1e3, SHORTEST_S, LONGEST_S) if load_requests else 0.0,
         family.number("idlePrice", default=0.0),
     )
-    cold_ms = rules.number("coldS", 1e3, 0.0, SECONDS)
+    cold_ms = rules.number("coldS", 1e3, 0.0, LONGEST_S)
     cold = (
         ColdRule(0.0, 0.0, 0.0, 0.0)
         if not cold_ms
         else ColdRule(
-            rules.number("fallMultiple", 1.0, LEAST),
-            rules.number("fallS", 1e3, LEAST, SECONDS),
+            rules.number("fallMultiple", 1.0, SHORTEST_S),
+            rules.number("fallS", 1e3, SHORTEST_S, LONGEST_S),
             rules.number("startCapacity", 1.0, 0.0, 1.0),
             cold_ms,
         )
     )
-    window_ms = family.number("loadsWithinS", 1e3, 0.0, SECONDS) if load_requests else 0.0
+    window_ms = family.number("loadsWithinS", 1e3, 0.0, LONGEST_S) if load_requests else 0.0
     ration = LoadRation(
         window_ms,
         family.number("loadFloor") if window_ms else 0.0,
@@ -226,10 +243,10 @@
         cold,
         ration,
         names,
-        [o.name("name") for o in orgs],
+        [org.name("name") for org in orgs],
         zones,
-        told.names("kinds"),
-        limits.whole("multiplex", 1, 10**6),
-        limits.number("connectTimeoutS", 1e3, LEAST, SECONDS),
-        limits.number("idleCloseS", 1e3, LEAST, SECONDS),
+        settings.names("kinds"),
+        limits.integer("multiplex", 1, 10**6),
+        limits.number("connectTimeoutS", 1e3, SHORTEST_S, LONGEST_S),
+        limits.number("idleCloseS", 1e3, SHORTEST_S, LONGEST_S),
     )
--- a/petrelway/common/endpoint_entry.py
+++ b/petrelway/common/endpoint_entry.py
@@ -1,4 +1,4 @@
-"""One line of a list of executors, as every source of such a list gives it."""
+"""One entry of the endpoint list, as every source of such a list gives it: registry client or discovery."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One executor process as the list names it; `started_ms` is wall-clock time, 0 for long ago."""
+    """One executor process as the endpoint list names it; `started_ms` is wall-clock time, 0 for long ago."""
 
     executor: str
     address: str
--- a/petrelway/common/index_table.py
+++ b/petrelway/common/index_table.py
@@ -1,6 +1,7 @@
 """Ids from outside and the small indices that stand for them inside.
 
-Where requests, executors and functions enter a process (dispatcher, simulator adapter) they get an index here.
+Where requests, executors and functions enter a process (dispatcher, simulator adapter) they get an index
+here.
 """
 
 from __future__ import annotations
--- a/petrelway/common/process_clock.py
+++ b/petrelway/common/process_clock.py
@@ -1,7 +1,7 @@
-"""The one clock of a process: Unix time as it stood at the start, counted on by spans that never step.
+"""The one clock of a process: Unix time as read at the start, counted on by spans that never step.
 
 An administrator, or NTP, may step the system's wall clock at any moment, by seconds or by an hour. A timer, a
-deadline or a window that is reckoned on it then fires early, or not for an hour. So every command takes its
+deadline or a window that is computed from it then fires early, or not for an hour. So every command takes its
 reactor from here, and nothing else reads the wall clock for a span (`tests/test_one_clock.py`).
 
 Processes of one rehearsal share one scale of time, whatever is stepped between their starts: the first hands
@@ -21,12 +21,13 @@
 
 
 def _since_boot() -> float:
-    """Goes on while the machine is suspended, where the system can tell: a lease ends all the same."""
+    """Return seconds since boot. Time of a suspended machine counts, where the system can tell: leases
+    end."""
     return time.clock_gettime(getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC))
 
 
 class ProcessClock:
-    """Seconds since the epoch, as the wall clock told at the start and as spans have counted since.
+    """Seconds since the epoch, as the wall clock read at the start and as spans have counted since.
 
     >>> walls, spans = iter([1000.0, 400.0]), iter([5.0, 6.0, 9.0, 10.0])
     >>> clock = ProcessClock(lambda: next(walls), lambda: next(spans))
@@ -40,25 +41,27 @@
         spans: Callable[[], float] = _since_boot,
         ahead_s: float | None = None,
     ) -> None:
-        """`ahead_s`: Unix time less the spans, where another process has told it."""
+        """`ahead_s`: Unix time less the spans, where another process has passed it on."""
         self._wall, self._spans = wall, spans
         self._ahead_s = wall() - spans() if ahead_s is None else ahead_s
 
     def seconds(self) -> float:
+        """Return the present in seconds since the epoch; it never steps."""
         return self._ahead_s + self._spans()
 
     def unix_ahead_s(self) -> float:
-        """How far the wall clock has been stepped ahead of this one, in all; negative: back."""
+        """Return how far the wall clock has been stepped ahead of this one, in all; negative: back."""
         return self._wall() - self.seconds()
 
     def scale(self) -> dict[str, str]:
-        """Environment variables for processes of this machine that are to count on the same scale."""
+        """Return environment variables for processes of this machine that are to count on the same scale."""
         return {SCALE_VARIABLE: repr(self._ahead_s)}
 
 
 @functools.cache
 def process_clock() -> ProcessClock:
-    """This process's clock; on another process's scale, if the environment tells one that can be read."""
+    """Return this process's clock; on another process's scale, if the environment names one that can be
+    read."""
     try:
         ahead_s = float(os.environ[SCALE_VARIABLE])
     except (KeyError, ValueError):
@@ -67,12 +70,13 @@
 
 
 def share_scale() -> None:
-    """Processes that this one starts from now on count on its scale."""
+    """Make processes that this one starts from now on count on its scale."""
     os.environ.update(process_clock().scale())
 
 
 def steady_reactor():
-    """This process's reactor, on its clock: the only way to one. Raises OSError if the system is short."""
+    """Return this process's reactor, on its clock; nothing else makes one. Raises OSError without
+    descriptors."""
     if "twisted.internet.reactor" not in sys.modules:
         from ..sockets.reactor import install
 
--- a/petrelway/common/structured_logs.py
+++ b/petrelway/common/structured_logs.py
@@ -12,15 +12,14 @@
 LEVELS = ("debug", "info", "warning", "error")
 FORMS = ("json", "console")
 
-
 LINES_BOUND = 5000  # lines that wait to be written
-BATCH = 50  # lines written in one step
+BATCH_LINES = 50  # lines written in one step
 KINDS_BOUND = 64  # kinds of errors in libraries that are written out
-TRACE_CHARACTERS = 4000
+TRACE_CHARACTERS = 4000  # of a traceback, its end
 
 
 class BufferedLogStream:
-    """A stream whose lines wait until there is time to write them; bounded, what is too much is counted.
+    """A stream whose lines wait until there is time to write them; past its bound lines are lost and counted.
 
     >>> import io
     >>> out = io.StringIO(); lines = BufferedLogStream(out, bound=2); lines.at_once = False
@@ -36,6 +35,7 @@
         self.at_once = True  # until somebody ships
 
     def write(self, text: str) -> int:
+        """Keep a line for later, or write it at once while nobody ships."""
         if self.at_once:
             self._write_now(text)
             return len(text)
@@ -46,7 +46,7 @@
         return len(text)
 
     def _write_now(self, text: str) -> None:
-        """Danger: a log that can't be written must not end what was being logged: a request, a connection."""
+        """Write; a log that can't be written must not end what was being logged: a request, a connection."""
         if self.lost:
             text = f"({self.lost} log lines lost)\n{text}"
         try:
@@ -58,20 +58,20 @@
         self.lost = 0
 
     def flush(self) -> None:
-        """Lines are written out as they come."""
+        """Do nothing: lines are written out as they come."""
 
     def ship(self) -> bool:
-        """Write one batch; whether any line waited."""
+        """Write one batch; return whether any line waited."""
         if not self.waiting and not self.lost:
             return False
-        batch = [self.waiting.popleft() for _ in range(min(BATCH, len(self.waiting)))]
+        batch = [self.waiting.popleft() for _ in range(min(BATCH_LINES, len(self.waiting)))]
         if self.lost and not self.waiting:
             batch.append(f"({self.lost} log lines lost: too many at once)\n")
             self.lost = 0
         try:
             self.stream.write("".join(batch))
             self.stream.flush()
-        except OSError:  # danger: a full disk must not end the shipping, nor be tried without a pause
+        except OSError:  # a full disk must not end the shipping, nor be tried again without a pause
             self.lost += len(batch)
             return False
         return True
@@ -104,7 +104,7 @@
 
 
 def library_errors(log) -> LibraryErrors:
-    """From now on Twisted's errors go to this log."""
+    """Send Twisted's errors to this log from now on."""
     from twisted.logger import globalLogBeginner
 
     observer = LibraryErrors(log)
@@ -115,7 +115,7 @@
 def start(
     form: str, level: str, path: str = "", stream: TextIO | None = None, **bound: Any
 ) -> tuple[structlog.typing.FilteringBoundLogger, BufferedLogStream]:
-    """A logger for one process, and the stream behind it. `path` empty: `stream`, or standard error.
+    """Return a logger for one process, and the stream behind it. `path` empty: `stream`, or standard error.
 
     Raises OSError if the file can't be opened.
     """
--- a/petrelway/gateway/answers.py
+++ b/petrelway/gateway/answers.py
@@ -1,6 +1,7 @@
 """The one final answer that a request gets, whatever its attempts came to.
 
-The dispatcher makes answers; the HTTP listener, the node's client listener and the emulator's clients read them.
+The dispatcher makes answers; the HTTP listener, the node's client listener and the emulator's clients read
+them.
 """
 
 from __future__ import annotations
--- a/petrelway/gateway/attempt_ledger.py
+++ b/petrelway/gateway/attempt_ledger.py
@@ -1,8 +1,8 @@
 """What the end of an attempt proves, without I/O: the ledger of one connection's lifetime.
 
-Rule 2 (what may have run is not sent again) rests on it: UNREACHABLE and UNSENT say that an attempt never ran,
-so they may be said only of one of which no byte was handed to the transport. From the hand-over on, a broken
-connection means RESET: the bytes may lie in a kernel's buffer, on the way, or at the executor.
+Rule 2 (what may have run is not sent again) rests on it: UNREACHABLE and UNSENT say that an attempt never
+ran, so they may be said only of one of which no byte was handed to the transport. From the hand-over on, a
+broken connection means RESET: the bytes may lie in a kernel's buffer, on the way, or at the executor.
 """
 
 from __future__ import annotations
@@ -49,7 +49,8 @@
         return self.handed.pop(key, self) is None
 
     def abandon(self, key: AttemptKey, outcome: Outcome) -> tuple[bool, Outcome] | None:
-        """Drop one that timed out or is cancelled: was it handed over, and its outcome; None if not in flight.
+        """Drop one that timed out or is cancelled: was it handed over, and its outcome; None if not in
+        flight.
 
         One that still waited here is UNSENT, whatever the cause: no byte of it left.
         """
@@ -60,7 +61,8 @@
         return None
 
     def end_all(self) -> list[tuple[AttemptKey, Outcome]]:
-        """The connection ended or never came up: return all that was in flight, with what that proves of each."""
+        """The connection ended or never came up: return all that was in flight, with what that proves of
+        each."""
         ends = [(key, Outcome.RESET) for key in self.handed]
         ends += [(key, Outcome.UNREACHABLE) for key in self.waiting]
         self.handed.clear()
--- a/petrelway/gateway/cloudevent_requests.py
+++ b/petrelway/gateway/cloudevent_requests.py
@@ -51,7 +51,8 @@
         self.catalogue = catalogue
 
     def read(self, event: Event) -> ReceivedRequest:
-        """Read one request. Raise EventError (status 400 or 422) at the first attribute that can't be used."""
+        """Read one request. Raise EventError (status 400 or 422) at the first attribute that can't be
+        used."""
         attributes = event.attributes
         request_class, deadline_ms = self._request_class(attributes)
         tenant = self._tenant(attributes)
--- a/petrelway/gateway/connection_end_reasons.py
+++ b/petrelway/gateway/connection_end_reasons.py
@@ -1,4 +1,4 @@
-"""Why a connection to an executor ended: a fixed set, for logs and counts."""
+"""Why a connection to an executor ended: a fixed set, for logs and counts. Node and gateway share it."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     LEAVING = "the front end leaves"
 
 
-FAILURES: tuple[tuple[type[BaseException], EndReason], ...] = (
+REASON_BY_ERROR: tuple[tuple[type[BaseException], EndReason], ...] = (
     (error.ConnectionRefusedError, EndReason.REFUSED),
     (error.TimeoutError, EndReason.TIMED_OUT),
     (defer.TimeoutError, EndReason.TIMED_OUT),
@@ -43,12 +43,12 @@
 
 
 def failure_reason(failure: Failure) -> EndReason:
-    """The reason that Twisted's failure stands for.
+    """Return the reason that Twisted's failure stands for.
 
     >>> failure_reason(Failure(error.TimeoutError())), failure_reason(Failure(error.ConnectionLost()))
     (<EndReason.TIMED_OUT: 'timed out'>, <EndReason.RESET: 'reset'>)
     """
-    for kind, reason in FAILURES:
-        if failure.check(kind):
+    for error_type, reason in REASON_BY_ERROR:
+        if failure.check(error_type):
             return reason
     return EndReason.NO_ROUTE if failure.check(error.ConnectError) else EndReason.RESET
--- a/petrelway/gateway/garbage_collection.py
+++ b/petrelway/gateway/garbage_collection.py
@@ -2,12 +2,18 @@
 
 import gc
 
-COLLECT = (20_000, 20, 50)  # allocations before a young collection, and how many make the next older
+COLLECTION_THRESHOLDS = (
+    20_000,
+    20,
+    50,
+)  # allocations before a young collection, and how many make the next older
 
 
 def settle() -> None:
-    """Danger: a full collection walks all that lives, and each request waits for it; what was loaded at the
-    start stays for good, and what requests leave behind is mostly freed by its counts."""
+    """Collect once and freeze what was loaded at the start.
+
+    A full collection walks all that lives, and each request waits for it; what requests leave behind is
+    mostly freed by its reference counts."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT)
+    gc.set_threshold(*COLLECTION_THRESHOLDS)
--- a/petrelway/gateway/http_listener.py
+++ b/petrelway/gateway/http_listener.py
@@ -70,8 +70,8 @@
     """Listens for one front end: reads requests, hands them to `accept`, writes answers.
 
     Three hooks may be set, each returning a retry time in ms, or 0 to let a request in: `policy_retry_ms`
-    while it is not known under which policy requests are accepted, `overload_retry_ms` while nothing at all is
-    accepted, `admission_retry_ms` for one request."""
+    while it is not known under which policy requests are accepted, `overload_retry_ms` while nothing at all
+    is accepted, `admission_retry_ms` for one request."""
 
     requestFactory = BodyBoundRequest
 
--- a/petrelway/gateway/outgoing_connections.py
+++ b/petrelway/gateway/outgoing_connections.py
@@ -1,4 +1,7 @@
-"""Outgoing connections: TCP with a time-out, a Deferred that can be cancelled."""
+"""Outgoing connections: TCP with a timeout, a Deferred that can be cancelled.
+
+Channels to executors, the registry client and the node's discovery connect through `connector`.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +22,8 @@
         return _Transport(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
-class _Dial(protocol.ClientFactory):
-    """One try. Its Deferred fires with the protocol once that is connected."""
+class _OneConnectionFactory(protocol.ClientFactory):
+    """One connect. Its Deferred fires with the protocol once that is connected."""
 
     noisy = False
 
@@ -30,19 +33,21 @@
         self.done: defer.Deferred[protocol.Protocol] = defer.Deferred(self._cancelled)
 
     def buildProtocol(self, address) -> protocol.Protocol:
+        """Build the protocol; once connected it fires the Deferred."""
         made = self.build()
         connected = made.connectionMade
 
-        def up() -> None:
+        def connection_made() -> None:
             made.connectionMade = connected
             connected()
             if not self.done.called:
                 self.done.callback(made)
 
-        made.connectionMade = up
+        made.connectionMade = connection_made
         return made
 
     def clientConnectionFailed(self, connector, reason: Failure) -> None:
+        """The connect failed or timed out."""
         if not self.done.called:
             self.done.errback(reason)
 
@@ -52,19 +57,20 @@
             self.connector.stopConnecting()
 
 
-def _dial(reactor, address: str, port: int, build: Callable, timeout_ms: float) -> defer.Deferred:
-    dial = _Dial(build)
-    dial.connector = _Connector(address, port, dial, timeout_ms / 1e3, None, reactor)
-    dial.connector.connect()
-    return dial.done
+def _connect_directly(reactor, address: str, port: int, build: Callable, timeout_ms: float) -> defer.Deferred:
+    factory = _OneConnectionFactory(build)
+    factory.connector = _Connector(address, port, factory, timeout_ms / 1e3, None, reactor)
+    factory.connector.connect()
+    return factory.done
 
 
 def connector(reactor) -> Callable:
-    """Connects to an address and a port with a time-out in ms; the Deferred can be cancelled."""
+    """Return a function that connects to an address and a port with a timeout in ms; its Deferred can be
+    cancelled."""
 
     def connect(address: str, port: int, build: Callable, timeout_ms: float) -> defer.Deferred:
         if interfaces.IReactorFDSet.providedBy(reactor):
-            return _dial(reactor, address, port, build, timeout_ms)
+            return _connect_directly(reactor, address, port, build, timeout_ms)
         endpoint = endpoints.TCP4ClientEndpoint(reactor, address, port, timeout=timeout_ms / 1e3)
         factory = protocol.Factory.forProtocol(build)
         factory.noisy = False
--- a/petrelway/gateway/pending_requests.py
+++ b/petrelway/gateway/pending_requests.py
@@ -1,7 +1,7 @@
 """What a dispatcher keeps of a request from its arrival until the routing core releases it.
 
-Besides the request itself: its attempts in flight, the Deferred that carries its answer, and load requests that
-wait for an executor's answer.
+Besides the request itself: its attempts in flight, the Deferred that carries its answer, and load requests
+that wait for an executor's answer.
 """
 
 from __future__ import annotations
--- a/petrelway/gateway/registry_client.py
+++ b/petrelway/gateway/registry_client.py
@@ -1,7 +1,7 @@
 """Follows the endpoint registry: full lists and changes with serials.
 
-While the registry can't be reached the last list stays in force. The service makes one client for a front end; the
-dispatcher hears each list.
+While the registry can't be reached the last list stays in force. The service makes one client for a front
+end; the dispatcher hears each list.
 """
 
 from __future__ import annotations
@@ -106,7 +106,8 @@
     def listed(self, serial: int, complete: bool, entries: list[EndpointEntry]) -> None:
         """Pass a list on. Raise WireError at a gap between serials.
 
-        A lost change could be an executor that drains; the old list stays in force until the full one is here."""
+        A lost change could be an executor that drains; the old list stays in force until the full one is
+        here."""
         if not complete and (self.serial is None or serial != self.serial + 1):
             raise WireError(f"changes {serial} after list {self.serial}: a gap")
         self.serial = serial
--- a/petrelway/gateway/routing_setup.py
+++ b/petrelway/gateway/routing_setup.py
@@ -1,4 +1,5 @@
-"""Makes the routing core that a front end's checked settings ask for, and records what it uses of its quota."""
+"""Makes the routing core that a front end's checked settings ask for, and records what it uses of its
+quota."""
 
 from __future__ import annotations
 
--- a/petrelway/gateway/service.py
+++ b/petrelway/gateway/service.py
@@ -1,7 +1,7 @@
 """One front end as a Twisted service: wired from its checked settings, started and stopped as a whole.
 
-`petrelway serve` runs it, the daemon adds a console. It owns the HTTP listener, the dispatcher, the registry's
-client, and the memberships of quota and policy where the settings name peers.
+`petrelway serve` runs it, the daemon adds a console. It owns the HTTP listener, the dispatcher, the
+registry's client, and the memberships of quota and policy where the settings name peers.
 """
 
 from __future__ import annotations
@@ -46,8 +46,8 @@
         note: Callable[..., Any] | None = None,
         unix_ahead_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """`sections`: the checked settings. `note` writes a rehearsal's record of what the fleet's members held
-        and used; `unix_ahead_s`: how far the wall clock has been stepped ahead of the reactor's."""
+        """`sections`: the checked settings. `note` writes a rehearsal's record of what the fleet's members
+        held and used; `unix_ahead_s`: how far the wall clock has been stepped ahead of the reactor's."""
         self.reactor = reactor
         self.sections = sections
         self.log = log
--- /dev/null
+++ b/tests/test_cloudevent_requests.py
@@ -0,0 +1,80 @@
+"""From events to requests: structured mode, any headers, the function catalogue."""
+
+import json
+import time
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from petrelway.events.single import EventError, read
+from petrelway.gateway.cloudevent_requests import CloudEventReader
+from petrelway.gateway.function_catalogue import FunctionCatalogue
+from petrelway.gateway.function_spec import FunctionSpec
+
+CATALOGUE = FunctionCatalogue([FunctionSpec("f", 100.0, 2, 0.0), FunctionSpec("station-*", 50.0, 4, 0.0)])
+READER = CloudEventReader({"t": 3000.0, "u": 6000.0}, ["north", "south"], CATALOGUE)
+GOOD = {
+    "specversion": "1.0",
+    "id": "1",
+    "source": "/gw",
+    "type": "reading",
+    "tariff": "t",
+    "customer": "north",
+    "function": "f",
+}
+
+
+def test_structured_mode():
+    def structured(**changes):
+        return json.dumps({k: v for k, v in {**GOOD, **changes}.items() if v is not None}).encode()
+
+    # body; content type and data, or a word of the refusal
+    table = [
+        (structured(data={"a": 1}), ("application/json", b'{"a":1}')),
+        (structured(data="x", datacontenttype="text/plain"), ("text/plain", b"x")),
+        (structured(data="x"), ("application/json", b'"x"')),
+        (structured(data_base64="aGk="), ("application/json", b"hi")),
+        (structured(), ("application/json", b"")),
+        (structured(workhint=3, repeat=True, data=False), ("application/json", b"false")),
+        (structured(data=1, data_base64="aGk="), "one of"),
+        (structured(data_base64="%"), "base64"),
+        (structured(subject=["a"]), "a string"),
+        (b"[]", "one event"),
+        (b"{", "no JSON"),
+        (b"\xff", "no JSON"),
+        (structured(UP="1"), "lower-case"),
+    ]
+    for body, expected in table:
+        if isinstance(expected, tuple):
+            event = read({"content-type": "application/cloudevents+json; charset=utf-8"}, body)
+            assert (event.content_type, event.data) == expected
+            assert READER.read(event).function.name == "f"
+        else:
+            with pytest.raises(EventError, match=expected):
+                read({"content-type": "application/cloudevents+json"}, body)
+
+
+@settings(max_examples=300, deadline=None)
+@given(
+    st.dictionaries(
+        st.sampled_from(["ce-id", "ce-source", "ce-type", "ce-specversion", "ce-x", "content-type"]),
+        st.text(max_size=30),
+    ),
+    st.binary(max_size=80),
+    st.booleans(),
+)
+def test_any_request_is_an_event_or_one_fault(headers, body, structured):
+    if structured:
+        headers["content-type"] = "application/cloudevents+json"
+    try:
+        READER.read(read(headers, body))
+    except EventError as fault:
+        assert fault.status in (400, 415, 422) and fault.allowed
+
+
+def test_catalogue():
+    assert CATALOGUE.find("station-9") == FunctionSpec("station-9", 50.0, 4, 0.0)
+    assert CATALOGUE.find("f").memory_mb == 100.0 and CATALOGUE.find("other") is None
+    began = time.process_time()
+    assert CATALOGUE.find("station-" + "a" * 400) is not None and time.process_time() - began < 1.0
--- a/tests/test_host.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,5 @@
-"""The host between the module and the links: one answer however they race, and each decision carried out."""
+"""The dispatcher between the routing core and the channels: one answer however they race, and each
+decision carried out."""
 
 import random
 
@@ -48,7 +49,7 @@
             ColdRule(4.0, 1500.0, 0.2, 10000.0),
             LoadRation(*ration),
         )
-        self.host = Dispatcher(
+        self.dispatcher = Dispatcher(
             self.clock,
             module,
             "front",
@@ -71,7 +72,7 @@
         self.step()
 
     def lists(self, stages, complete=True):
-        self.host.executors_listed(
+        self.dispatcher.executors_listed(
             [
                 EndpointEntry(f"e{e}", "127.0.0.1", 7000 + e, "a", "quad", 0, stage, 1.0, 0.0)
                 for e, stage in stages.items()
@@ -84,10 +85,12 @@
             self.clock.advance(min(ms, 5.0) / 1e3)
 
     def take(self, remaining=3000.0, function=F):
-        answer = self.host.take(0, 0, function, f"m{self.host.serial}", remaining, 100.0, False, "", b"body")
-        got = self.answers[self.host.serial] = []
+        answer = self.dispatcher.take(
+            0, 0, function, f"m{self.dispatcher.serial}", remaining, 100.0, False, "", b"body"
+        )
+        got = self.answers[self.dispatcher.serial] = []
         answer.addCallbacks(got.append, lambda failure: got.append(failure.type))
-        return self.host.serial, answer
+        return self.dispatcher.serial, answer
 
     def said(self, kind):
         """What all executors heard of a kind since the last look, with the executor."""
@@ -110,7 +113,7 @@
         return [a if isinstance(a, type) else a.completion for a in self.answers[serial]]
 
 
-def test_the_ordinary_way():
+def test_a_request_from_acceptance_to_answer():
     rig = Rig()
     serial, _ = rig.take()
     assert rig.sent() == []  # inputs of one turn first
@@ -120,7 +123,11 @@
     assert rig.kinds(serial) == ["fulfilled"] and rig.answers[serial][0].body == b"done"
     assert rig.answers[serial][0].executor == f"e{executor}"
     rig.step(20.0)
-    assert rig.host.pending == {} and rig.host.unanswered == 0 and rig.host.requests.indices == {}
+    assert (
+        rig.dispatcher.pending == {}
+        and rig.dispatcher.unanswered == 0
+        and rig.dispatcher.requests.indices == {}
+    )
 
 
 def test_one_answer_however_they_race():
@@ -128,7 +135,7 @@
     def succeeded(rig, serial, e, answer):
         rig.end(e, serial, Outcome.SUCCEEDED)
 
-    def gone(rig, serial, e, answer):
+    def cancelled(rig, serial, e, answer):
         answer.cancel()
 
     def broken(rig, serial, e, answer):
@@ -141,15 +148,15 @@
         rig.step(5.0)
 
     table = [
-        ([succeeded, gone], ["fulfilled"]),
-        ([gone, succeeded], [defer.CancelledError]),
-        ([gone, step, succeeded], [defer.CancelledError]),
+        ([succeeded, cancelled], ["fulfilled"]),
+        ([cancelled, succeeded], [defer.CancelledError]),
+        ([cancelled, step, succeeded], [defer.CancelledError]),
         ([succeeded, succeeded, broken, over], ["fulfilled"]),
         ([over], ["nacked"]),
-        ([over, succeeded, gone], ["nacked"]),
+        ([over, succeeded, cancelled], ["nacked"]),
         ([broken, over], ["nacked"]),
         ([succeeded, over], ["fulfilled"]),
-        ([gone, over, succeeded], [defer.CancelledError]),
+        ([cancelled, over, succeeded], [defer.CancelledError]),
     ]
     for events, expected in table:
         rig = Rig(sends=1)
@@ -161,10 +168,12 @@
         rig.step(10.0)
         assert rig.kinds(serial) == expected, [event.__name__ for event in events]
         rig.step(50.0)
-        assert rig.host.unanswered == 0 and rig.host.pending == {}, [event.__name__ for event in events]
+        assert rig.dispatcher.unanswered == 0 and rig.dispatcher.pending == {}, [
+            event.__name__ for event in events
+        ]
 
 
-def test_random_races_leave_nothing_owed():
+def test_random_races_leave_nothing_unanswered():
     for seed in range(25):
         random_source = random.Random(seed)
         rig = Rig(
@@ -203,14 +212,14 @@
             out += rig.sent()
         rig.step(3200.0)
         assert all(len(got) == 1 for got in rig.answers.values()), seed
-        assert rig.host.unanswered == 0
+        assert rig.dispatcher.unanswered == 0
         for e, serial, number, _ in out + rig.sent():
             rig.end(e, serial, 0, number)
         rig.step(50.0)
-        assert rig.host.pending == {} and rig.host.requests.indices == {}, seed
+        assert rig.dispatcher.pending == {} and rig.dispatcher.requests.indices == {}, seed
 
 
-def test_miss_order_and_send_again():
+def test_a_miss_leads_to_a_load_request_and_a_retry():
     rig = Rig(executors=1, misses=True)
     serial, _ = rig.take()
     rig.step()
@@ -227,17 +236,17 @@
     assert rig.kinds(serial) == ["fulfilled"]
 
 
-def test_an_order_unanswered_times_out():
+def test_an_unanswered_load_request_times_out():
     rig = Rig(executors=1, misses=True)
     serial, _ = rig.take()
     rig.step()
     rig.end(0, serial, Outcome.MISS, warmth=0)
     rig.step(5100.0)
-    assert rig.host.load_requests == {} and rig.host.counts["order timeout"] == 1
-    assert rig.host.channels[0].load_requests == {} and rig.kinds(serial) == ["nacked"]
+    assert rig.dispatcher.load_requests == {} and rig.dispatcher.counts["order timeout"] == 1
+    assert rig.dispatcher.channels[0].load_requests == {} and rig.kinds(serial) == ["nacked"]
 
 
-def test_links_follow_the_list():
+def test_channels_follow_the_endpoint_list():
     rig = Rig(executors=2)
     rig.lists({1: "gone"}, complete=False)
     rig.step()
@@ -245,11 +254,11 @@
         rig.take()
     rig.step()
     assert {e for e, *_ in rig.sent()} == {0}
-    rig.step(7000.0)  # the module forgets a gone executor; its index and its link go
-    assert list(rig.host.channels) == [0] and "e1" not in rig.host.executors.indices
+    rig.step(7000.0)  # the module forgets a gone executor; its index and its channel go
+    assert list(rig.dispatcher.channels) == [0] and "e1" not in rig.dispatcher.executors.indices
 
 
-def test_what_waited_goes_out_only_if_it_still_may():
+def test_a_waiting_attempt_is_sent_only_if_it_still_may():
     """Danger: decided before its client left or the executor drained, it waits for a connection."""
     for what in ("client", "list", "nothing"):
         rig = Rig(executors=1)
@@ -264,10 +273,10 @@
         rig.executors[0][0].resumeProducing()  # in the very turn, before anything is decided anew
         assert len(rig.sent()) == (what == "nothing")
         rig.step(3000.0)
-        assert len(rig.kinds(serial)) == 1 and rig.host.unanswered == 0
+        assert len(rig.kinds(serial)) == 1 and rig.dispatcher.unanswered == 0
 
 
-class Sick(FrontEnd):
+class FailingFrontEnd(FrontEnd):
     """Decisions that fail for one function, and for all while `ill`."""
 
     ill = False
@@ -283,7 +292,7 @@
 
 
 def test_a_decision_that_fails_ends_its_request_only():
-    rig = Rig(kind=Sick)
+    rig = Rig(kind=FailingFrontEnd)
     sick, _ = rig.take(function=F._replace(name="sick"))
     well, _ = rig.take()
     rig.step()
@@ -293,17 +302,17 @@
     assert serial == well
     rig.end(e, well, Outcome.SUCCEEDED)
     rig.step(20.0)
-    assert rig.kinds(well) == ["fulfilled"] and rig.host.pending == {}
+    assert rig.kinds(well) == ["fulfilled"] and rig.dispatcher.pending == {}
 
 
-def test_decisions_that_keep_failing_break_off_what_is_owed():
-    rig = Rig(kind=Sick)
-    rig.host.front_end.ill = True
+def test_decisions_that_keep_failing_fail_all_unanswered_requests():
+    rig = Rig(kind=FailingFrontEnd)
+    rig.dispatcher.front_end.ill = True
     for _ in range(DECISION_FAILURES_BOUND + 20):
         rig.take()
     rig.step(50.0)
-    assert all(rig.kinds(s) == ["broken off"] for s in rig.answers) and rig.host.unanswered == 0
-    rig.host.front_end.ill = False
+    assert all(rig.kinds(s) == ["broken off"] for s in rig.answers) and rig.dispatcher.unanswered == 0
+    rig.dispatcher.front_end.ill = False
     rig.step(50.0)
     serial, _ = rig.take()
     rig.step()
@@ -312,37 +321,37 @@
     assert rig.kinds(serial) == ["fulfilled"]
 
 
-def test_the_end():
+def test_close():
     rig = Rig()
     first, _ = rig.take()
     rig.step()
     ((e, *_),) = rig.sent()
     idle = []
-    rig.host.all_answered().addCallback(lambda _: idle.append(True))
+    rig.dispatcher.all_answered().addCallback(lambda _: idle.append(True))
     assert not idle
     rig.end(e, first, Outcome.SUCCEEDED)
     assert idle
     second, _ = rig.take()
     rig.step()
     rig.sent()
-    rig.host.close()
+    rig.dispatcher.close()
     assert rig.kinds(second) == ["broken off"] and rig.clock.getDelayedCalls() == []
 
 
 def test_a_turn_that_fails_is_not_the_last_one():
-    """Danger: an exception while a decision was carried out left the host in its turn for ever."""
+    """Danger: an exception while a decision was carried out left the dispatcher in its turn for ever."""
     rig = Rig(1)
-    link = rig.host.channels[0]
-    send, rig.host.channels[0].send = link.send, None  # a fault of ours
+    channel = rig.dispatcher.channels[0]
+    send, channel.send = channel.send, None  # a fault in this program
     serial, _ = rig.take()
     try:
         rig.step()
     except TypeError:
         pass
-    link.send = send
+    channel.send = send
     rig.step(2900.0)
     other, _ = rig.take()
     rig.step(20.0)
-    assert other in [sent[1] for sent in rig.sent()] and rig.host.counts["turn failed"] == 1
+    assert other in [sent[1] for sent in rig.sent()] and rig.dispatcher.counts["turn failed"] == 1
     rig.step(200.0)
     assert rig.kinds(serial) == ["nacked"]  # and what it was at has its answer too
--- a/tests/test_links.py
+++ b/tests/test_executor_channel.py
@@ -1,18 +1,17 @@
-"""What the end of a attempt proves: each outcome, on connections in memory."""
+"""What the end of an attempt proves: each outcome, on connections in memory."""
 
 import random
 
 from doubles import Heard, Log, Net, clock, lost
 
-from petrelway.gateway.attempt_ledger import AttemptLedger
 from petrelway.gateway.channel_base import BUFFER_BYTES, CLOGGED_MS
 from petrelway.gateway.executor_channel import GREETING_TIMEOUT_MS, WAITING_BOUND, ExecutorChannel
-from petrelway.routing.types import NEVER_RAN, Outcome
+from petrelway.routing.types import Outcome
 from petrelway.wire import codec
 from petrelway.wire.framing import frame
 
 
-class Ears:
+class RecordingListener:
     def __init__(self):
         self.ends, self.load_requests, self.probes = [], [], []
 
@@ -31,8 +30,8 @@
 
 class Rig:
     def __init__(self):
-        self.clock, self.net, self.ears, self.log = clock(), Net(), Ears(), Log()
-        self.link = ExecutorChannel(
+        self.clock, self.net, self.listener, self.log = clock(), Net(), RecordingListener(), Log()
+        self.channel = ExecutorChannel(
             0,
             "e0",
             "127.0.0.1",
@@ -42,7 +41,7 @@
             self.clock,
             self.net.connect,
             random.Random(3),
-            self.ears,
+            self.listener,
             self.log,
         )
 
@@ -56,7 +55,7 @@
         self.wire.dataReceived(data)
 
     def send(self, serial, number=0):
-        self.link.send((serial, number), "m", "f", 1.0, 1, "t", "c", 9.0, 0.0, "", b"")
+        self.channel.send((serial, number), "m", "f", 1.0, 1, "t", "c", 9.0, 0.0, "", b"")
 
     def cut(self):
         self.wire.connectionLost(lost())
@@ -80,11 +79,11 @@
         rig.up().send(1)
         rig.cut()
 
-    def between_two_tries(rig):
+    def between_two_connects(rig):
         rig.net.refuse()
         rig.send(1)
 
-    def told(outcome):
+    def reported(outcome):
         def play(rig):
             rig.up().send(1)
             rig.say(ended(1, outcome))
@@ -92,15 +91,15 @@
         return play
 
     def after_closing(rig):
-        rig.up().link.close()
+        rig.up().channel.close()
         rig.send(1)
 
     def queued_behind_a_full_buffer(rig):
         rig.up(room=40).send(1)
-        rig.ears.ends.clear()
+        rig.listener.ends.clear()
         rig.send(2)
         rig.cut()
-        assert rig.ears.ends.pop(0) == ((1, 0), Outcome.RESET)  # its bytes were handed over
+        assert rig.listener.ends.pop(0) == ((1, 0), Outcome.RESET)  # its bytes were handed over
 
     def garbage(rig):
         rig.up().send(1)
@@ -111,49 +110,49 @@
     table = [
         (refused, Outcome.UNREACHABLE),
         (broken_before_the_welcome, Outcome.UNREACHABLE),
-        (between_two_tries, Outcome.UNREACHABLE),
+        (between_two_connects, Outcome.UNREACHABLE),
         (queued_behind_a_full_buffer, Outcome.UNREACHABLE),
         (after_closing, Outcome.UNSENT),
         (broken_after_the_hand_over, Outcome.RESET),
         (garbage, Outcome.RESET),
-        (told(0), Outcome.SUCCEEDED),
-        (told(1), Outcome.ERROR),
-        (told(2), Outcome.FULL),
-        (told(8), Outcome.MISS),
-        (told(6), Outcome.CANCELLED),
+        (reported(0), Outcome.SUCCEEDED),
+        (reported(1), Outcome.ERROR),
+        (reported(2), Outcome.FULL),
+        (reported(8), Outcome.MISS),
+        (reported(6), Outcome.CANCELLED),
     ]
     for play, expected in table:
         rig = Rig()
         play(rig)
-        assert [outcome for _, outcome in rig.ears.ends] == [expected], (play.__name__, rig.ears.ends)
+        assert [outcome for _, outcome in rig.listener.ends] == [expected], (play.__name__, rig.listener.ends)
 
 
-def test_withdrawal_and_time_out():
+def test_cancel_and_timeout():
     rig = Rig()
     rig.send(1)
-    assert rig.link.cancel_attempt((1, 0)) is Outcome.UNSENT  # it waited here: no byte of it left
+    assert rig.channel.cancel_attempt((1, 0)) is Outcome.UNSENT  # it waited here: no byte of it left
     rig.up()
     assert rig.heard.pull() == [("greeted", "front")]
     rig.send(2)
-    assert rig.link.cancel_attempt((2, 0)) is Outcome.CANCELLED
+    assert rig.channel.cancel_attempt((2, 0)) is Outcome.CANCELLED
     rig.send(3)
-    assert rig.link.cancel_attempt((3, 0), Outcome.TIMEOUT) is Outcome.TIMEOUT
+    assert rig.channel.cancel_attempt((3, 0), Outcome.TIMEOUT) is Outcome.TIMEOUT
     assert rig.heard.pull()[-1] == ("cancelled", 3, 0)
     rig.say(ended(3, 0))  # too late: nobody hears of it twice
-    assert rig.ears.ends == [] and rig.link.cancel_attempt((3, 0)) is None
+    assert rig.listener.ends == [] and rig.channel.cancel_attempt((3, 0)) is None
 
 
 def test_bounds_and_back_pressure():
     rig = Rig()
     for serial in range(WAITING_BOUND + 1):
         rig.send(serial)
-    assert rig.ears.ends == [((WAITING_BOUND, 0), Outcome.UNSENT)]
+    assert rig.listener.ends == [((WAITING_BOUND, 0), Outcome.UNSENT)]
     rig.up(room=200)
-    handed = len(rig.link.ledger.handed)
+    handed = len(rig.channel.ledger.handed)
     assert 0 < handed < WAITING_BOUND and rig.pipe.bufferSize == BUFFER_BYTES
     rig.pipe.room = None
     rig.wire.resumeProducing()
-    assert len(rig.link.ledger.handed) == WAITING_BOUND
+    assert len(rig.channel.ledger.handed) == WAITING_BOUND
     rig = Rig().up(room=10)
     rig.send(1)
     rig.clock.advance(CLOGGED_MS / 1e3)  # an executor that accepts and never reads
@@ -169,12 +168,12 @@
     rig.net.accept()
     rig.send(1)
     rig.clock.advance(GREETING_TIMEOUT_MS / 1e3)  # accepted, and says nothing
-    rig.link.connection.connectionLost(lost())
-    assert rig.ears.ends == [((1, 0), Outcome.UNREACHABLE)]
+    rig.channel.connection.connectionLost(lost())
+    assert rig.listener.ends == [((1, 0), Outcome.UNREACHABLE)]
     assert rig.log.lines[0][1]["reason"] == "no welcome"
 
 
-def test_one_line_for_an_outage_and_back_off():
+def test_one_log_line_for_an_outage_and_backoff():
     rig, waits = Rig(), []
     for _ in range(6):
         rig.net.refuse()
@@ -187,50 +186,24 @@
     assert waits[0] <= 0.06 and max(waits) <= 1.01 and waits[4] > 4 * waits[0]
 
 
-def test_orders_end_once():
+def test_load_requests_end_once():
     rig = Rig()
-    assert rig.link.request_load(1, "f", 1, 1.0, 1) is Outcome.UNREACHABLE
+    assert rig.channel.request_load(1, "f", 1, 1.0, 1) is Outcome.UNREACHABLE
     rig.up()
     for id in (2, 3):
-        assert rig.link.request_load(id, "f", 1, 1.0, 1) is None
-    assert rig.link.probe(4) is None
+        assert rig.channel.request_load(id, "f", 1, 1.0, 1) is None
+    assert rig.channel.probe(4) is None
     rig.say(
         codec.stood(2, 0, 1) + codec.stood(2, 0, 1) + codec.stood(4, 0, 1)
     )  # 4 is a probe: no answer to it
     rig.cut()
-    assert rig.ears.load_requests == [(2, Outcome.SUCCEEDED, 1), (3, Outcome.RESET, 0)]
+    assert rig.listener.load_requests == [(2, Outcome.SUCCEEDED, 1), (3, Outcome.RESET, 0)]
 
 
-def test_a_later_process_behind_a_half_open_link():
+def test_a_later_process_behind_a_half_open_connection():
     rig = Rig().up()
     rig.send(1)
-    rig.link.restarted(5_000.0, 5_000.0)
+    rig.channel.restarted(5_000.0, 5_000.0)
     assert rig.pipe.aborted
     rig.cut()
-    assert rig.ears.ends == [((1, 0), Outcome.RESET)]
-
-
-def test_ledger_never_claims_too_much():
-    """Any order of events: a key ends once, and as never run only if it was not handed over."""
-    random_source = random.Random(5)
-    for _ in range(300):
-        ledger, handed, ends = AttemptLedger(5), set(), []
-        keys = [(i, 0) for i in range(12)]
-        taken = set()
-        for _ in range(40):
-            key, what = random_source.choice(keys), random_source.randrange(5)
-            if what == 0 and key not in taken:
-                taken.add(key)
-                if not ledger.wait(key):
-                    ends.append((key, Outcome.UNSENT))
-            elif what == 1:
-                handed.add(ledger.hand_over())
-            elif what == 2 and ledger.ended(key):
-                ends.append((key, Outcome.SUCCEEDED))
-            elif what == 3 and (end := ledger.abandon(key, Outcome.TIMEOUT)):
-                ends.append((key, end[1]))
-            elif what == 4 and random_source.random() < 0.2:
-                ends += ledger.end_all()
-        ends += ledger.end_all()
-        assert sorted(key for key, _ in ends) == sorted(taken)
-        assert all(outcome not in NEVER_RAN or key not in handed for key, outcome in ends)
+    assert rig.listener.ends == [((1, 0), Outcome.RESET)]
--- a/tests/test_forward_clock.py
+++ b/tests/test_forward_clock.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers import Host, verbs
-from test_host import Rig
+from test_dispatcher import Rig
 
 from petrelway.routing.types import Idempotency, Outcome, Part, Verb, Warmth
 
@@ -110,16 +110,16 @@
 
 def test_all_that_happens_in_a_turn_happens_at_its_beginning():
     rig = Rig(2)
-    seen, decide = [], rig.host.front_end.decide
+    seen, decide = [], rig.dispatcher.front_end.decide
 
     def slowly(now):
-        seen.append((now, rig.host.now()))
+        seen.append((now, rig.dispatcher.now()))
         rig.clock.rightNow += 0.7  # a stall within the turn
         return decide(now)
 
-    rig.host.front_end.decide = slowly
-    began = rig.host.now()
+    rig.dispatcher.front_end.decide = slowly
+    began = rig.dispatcher.now()
     rig.take()
     rig.step()
     assert seen[0] == seen[1] == (began, began)
-    assert rig.host.now() > began + 700.0  # and it goes on after it
+    assert rig.dispatcher.now() > began + 700.0  # and it goes on after it
--- a/tests/test_intake.py
+++ b/tests/test_http_listener.py
@@ -1,29 +1,21 @@
 """The HTTP side: what is taken, what is refused and how, and that nothing refused was taken."""
 
 import json
-import random
-import time
 
-import pytest
-from doubles import Log, Net, clock, lost
-from hypothesis import given, settings
-from hypothesis import strategies as st
+from doubles import Log, clock, lost
 from twisted.internet import address, defer
 from twisted.internet.testing import StringTransport
 
-from petrelway.events.single import ATTRIBUTES_BOUND, EventError, read
+from petrelway.events.single import ATTRIBUTES_BOUND
 from petrelway.gateway.answers import Answer, Completion
-from petrelway.gateway.backoff import Backoff
 from petrelway.gateway.cloudevent_requests import CloudEventReader, ReceivedRequest
 from petrelway.gateway.function_catalogue import FunctionCatalogue
 from petrelway.gateway.function_spec import FunctionSpec
 from petrelway.gateway.http_listener import BODY_BOUND, HttpListener
-from petrelway.gateway.registry_client import RegistryClient
 from petrelway.routing.types import Warmth
-from petrelway.wire import registry_codec
 
 CATALOGUE = FunctionCatalogue([FunctionSpec("f", 100.0, 2, 0.0), FunctionSpec("station-*", 50.0, 4, 0.0)])
-ASKS = CloudEventReader({"t": 3000.0, "u": 6000.0}, ["north", "south"], CATALOGUE)
+READER = CloudEventReader({"t": 3000.0, "u": 6000.0}, ["north", "south"], CATALOGUE)
 GOOD = {
     "specversion": "1.0",
     "id": "1",
@@ -38,22 +30,22 @@
 class Rig:
     def __init__(self, open_bound=10, connections_bound=10):
         self.taken, self.owed, self.log = [], 0, Log()
-        self.intake = HttpListener(
-            ASKS, self._take, lambda: self.owed, self.log, open_bound, connections_bound, reactor=clock()
+        self.listener = HttpListener(
+            READER, self._take, lambda: self.owed, self.log, open_bound, connections_bound, reactor=clock()
         )
         self.connect()
 
     def connect(self):
-        self.channel = self.intake.buildProtocol(address.IPv4Address("TCP", "127.0.0.1", 1))
+        self.channel = self.listener.buildProtocol(address.IPv4Address("TCP", "127.0.0.1", 1))
         if self.channel is not None:
             self.pipe = HttpPipe()
             self.channel.makeConnection(self.pipe)
         return self.channel
 
-    def _take(self, ask: ReceivedRequest, content_type, body):
-        answer = defer.Deferred(lambda d: self.cancelled.append(ask))
+    def _take(self, received: ReceivedRequest, content_type, body):
+        answer = defer.Deferred(lambda d: self.cancelled.append(received))
         self.cancelled = []
-        self.taken.append((ask, content_type, body, answer))
+        self.taken.append((received, content_type, body, answer))
         return answer
 
     def post(self, headers, body=b"", method="POST", length=None):
@@ -102,8 +94,8 @@
     rig = Rig()
     for answer, status, headers in table:
         assert rig.event(body=b"7") is None
-        ask, content_type, body, deferred = rig.taken.pop()
-        assert (ask.function.name, ask.idempotency_key, ask.remaining_ms, body) == (
+        received, content_type, body, deferred = rig.taken.pop()
+        assert (received.function.name, received.idempotency_key, received.remaining_ms, body) == (
             "f",
             "/gw\n1",
             3000.0,
@@ -140,7 +132,7 @@
         got, headers, body = rig.event(changes)
         assert got == status and headers["content-type"] == "application/problem+json", changes
         assert word in json.loads(body)["detail"], (changes, body)
-        assert not rig.taken and rig.intake.counts[f"refused {status}"] == 1
+        assert not rig.taken and rig.listener.counts[f"refused {status}"] == 1
     assert Rig().post({}, method="GET")[0] == 405
     assert Rig().post({"content-type": "application/cloudevents-batch+json"}, b"[]")[0] == 415
     many = {f"a{i}": "1" for i in range(ATTRIBUTES_BOUND + 1)}
@@ -166,19 +158,19 @@
     first = rig.channel
     assert rig.connect() is not None and rig.connect() is None
     first.connectionLost(lost())
-    assert rig.connect() is not None and rig.intake.counts["connections over the bound"] == 1
+    assert rig.connect() is not None and rig.listener.counts["connections over the bound"] == 1
 
 
 def test_while_nothing_is_taken_no_event_is_read():
     """Danger: past its bounds a process that reads each event before it rejects it has no time to serve any.
     At twice what it carries 3 to 11% was succeeded."""
     rig = Rig()
-    rig.intake.overload_retry_ms = lambda: 230.4
-    rig.intake.reader = None  # whoever reads an event fails
+    rig.listener.overload_retry_ms = lambda: 230.4
+    rig.listener.reader = None  # whoever reads an event fails
     for changes in ({}, {"tariff": "x"}, {"specversion": None}):
         status, headers, _ = rig.event(changes)
         assert (status, headers["petrelway-taken"], headers["petrelway-retry-ms"]) == (503, "no", "231")
-    assert not rig.taken and rig.intake.counts["refused 503"] == 3
+    assert not rig.taken and rig.listener.counts["refused 503"] == 3
 
 
 def test_no_body_is_read_as_a_form():
@@ -200,130 +192,6 @@
     rig.channel.connectionLost(lost())
     assert len(rig.cancelled) == 1 and rig.log.lines == []
     rig.connect()
-    rig.intake.draining = True
+    rig.listener.draining = True
     status, headers, _ = rig.event()
     assert status == 503 and headers["petrelway-taken"] == "no" and len(rig.taken) == 1
-
-
-def test_structured_mode():
-    def structured(**changes):
-        return json.dumps({k: v for k, v in {**GOOD, **changes}.items() if v is not None}).encode()
-
-    # body; content type and data, or a word of the refusal
-    table = [
-        (structured(data={"a": 1}), ("application/json", b'{"a":1}')),
-        (structured(data="x", datacontenttype="text/plain"), ("text/plain", b"x")),
-        (structured(data="x"), ("application/json", b'"x"')),
-        (structured(data_base64="aGk="), ("application/json", b"hi")),
-        (structured(), ("application/json", b"")),
-        (structured(workhint=3, repeat=True, data=False), ("application/json", b"false")),
-        (structured(data=1, data_base64="aGk="), "one of"),
-        (structured(data_base64="%"), "base64"),
-        (structured(subject=["a"]), "a string"),
-        (b"[]", "one event"),
-        (b"{", "no JSON"),
-        (b"\xff", "no JSON"),
-        (structured(UP="1"), "lower-case"),
-    ]
-    for body, expected in table:
-        if isinstance(expected, tuple):
-            event = read({"content-type": "application/cloudevents+json; charset=utf-8"}, body)
-            assert (event.content_type, event.data) == expected
-            assert ASKS.read(event).function.name == "f"
-        else:
-            with pytest.raises(EventError, match=expected):
-                read({"content-type": "application/cloudevents+json"}, body)
-
-
-@settings(max_examples=300, deadline=None)
-@given(
-    st.dictionaries(
-        st.sampled_from(["ce-id", "ce-source", "ce-type", "ce-specversion", "ce-x", "content-type"]),
-        st.text(max_size=30),
-    ),
-    st.binary(max_size=80),
-    st.booleans(),
-)
-def test_any_request_is_an_event_or_one_fault(headers, body, structured):
-    if structured:
-        headers["content-type"] = "application/cloudevents+json"
-    try:
-        ASKS.read(read(headers, body))
-    except EventError as fault:
-        assert fault.status in (400, 415, 422) and fault.allowed
-
-
-def test_catalogue():
-    assert CATALOGUE.find("station-9") == FunctionSpec("station-9", 50.0, 4, 0.0)
-    assert CATALOGUE.find("f").memory_mb == 100.0 and CATALOGUE.find("other") is None
-    began = time.process_time()
-    assert CATALOGUE.find("station-" + "a" * 400) is not None and time.process_time() - began < 1.0
-
-
-class RegistryRig:
-    def __init__(self):
-        self.clock, self.net, self.log, self.heard = clock(), Net(), Log(), []
-        self.follower = RegistryClient(
-            "front",
-            "p",
-            "127.0.0.1",
-            1,
-            self.clock,
-            self.net.connect,
-            random.Random(1),
-            lambda lines, complete: self.heard.append((len(lines), complete)),
-            self.log,
-        )
-
-    def tell(self, serial, complete, count=1):
-        lines = [
-            registry_codec.EndpointEntry(f"e{i}", "127.0.0.1", 7000, "a", "q", 0, "ready", 1.0, 0.0)
-            for i in range(count)
-        ]
-        self.wire.dataReceived(registry_codec.listed(serial, complete, lines))
-
-    def up(self):
-        while not self.net.dialled:
-            self.clock.advance(0.01)
-        self.wire, self.pipe = self.net.accept()
-
-
-def test_registry_gaps_and_outages():
-    # lists told by serial and completeness; how many are heard before the link is closed for a gap, or None
-    table = [
-        ([(5, True), (6, False), (7, False)], 3, False),
-        ([(5, True), (7, False)], 1, True),
-        ([(5, False)], 0, True),
-        ([(5, True), (5, False)], 1, True),
-        ([(5, True), (9, True), (10, False)], 3, False),
-    ]
-    for told, heard, gap in table:
-        rig = RegistryRig()
-        rig.up()
-        for serial, complete in told:
-            rig.tell(serial, complete)
-        assert (len(rig.heard), rig.pipe.aborted) == (heard, gap), told
-    rig = RegistryRig()
-    rig.up()
-    rig.tell(5, True, 3)
-    rig.tell(7, False)  # a change was lost: the old list holds
-    rig.wire.connectionLost(lost())
-    assert rig.heard == [(3, True)] and "gap" in rig.log.lines[0][1]["reason"]
-    rig.up()
-    rig.tell(7, True, 2)
-    assert rig.heard[-1] == (2, True) and rig.log.events() == ["registry down", "registry up"]
-    rig.follower.close()
-    rig.wire.connectionLost(lost())
-    assert rig.clock.getDelayedCalls() == []
-    rig = RegistryRig()
-    rig.net.refuse()
-    rig.follower.close()
-    assert rig.clock.getDelayedCalls() == []
-
-
-def test_backoff_has_a_bound_and_a_phase():
-    one, other = Backoff(random.Random(1), 50.0, 400.0), Backoff(random.Random(2), 50.0, 400.0)
-    waits = [one.failed() for _ in range(8)]
-    assert max(waits) <= 400.0 and waits != [other.failed() for _ in range(8)]
-    one.succeeded()
-    assert one.failed() <= 50.0
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,7 +1,7 @@
 """When executors started, after steps of the wall clock: on the host, and to the decisions."""
 
 from doubles import Log
-from test_host import Rig
+from test_dispatcher import Rig
 
 from petrelway.common.start_times import StartTimes
 from petrelway.wire.registry_codec import EndpointEntry
@@ -47,7 +47,7 @@
 
 
 def listed(rig, started_ms):
-    rig.host.executors_listed(
+    rig.dispatcher.executors_listed(
         [EndpointEntry("e0", "127.0.0.1", 7000, "a", "quad", 0, "ready", 1.0, started_ms)], complete=True
     )
 
@@ -55,40 +55,40 @@
 def test_a_step_is_said_once_and_cuts_no_connection():
     rig = Rig(1)
     ahead_s = [0.0]
-    rig.host.unix_ahead_s = lambda: ahead_s[0]
-    started_ms = rig.host.now()
+    rig.dispatcher.unix_ahead_s = lambda: ahead_s[0]
+    started_ms = rig.dispatcher.now()
     listed(rig, started_ms)
     rig.step(2000.0)
     serial, _ = rig.take()
     rig.step()
     for step_s in (-3600.0, -3600.0, 3600.0):
         ahead_s[0] = step_s
-        rig.host.check_wall_clock()
+        rig.dispatcher.check_wall_clock()
         listed(rig, started_ms)
         rig.step()
     rig.end(0, serial, 0)
     rig.step()
     assert rig.kinds(serial) == ["fulfilled"]
     said = [line for line in rig.log.lines if "wall clock stepped" in str(line)]
-    assert len(said) == 2 and rig.host.counts["wall clock stepped"] == 2
+    assert len(said) == 2 and rig.dispatcher.counts["wall clock stepped"] == 2
 
 
 def test_the_decisions_hear_the_later_start():
     rig = Rig(1)
     ahead_s = [0.0]
-    rig.host.unix_ahead_s = lambda: ahead_s[0]
-    heard_ms = rig.host.now()
+    rig.dispatcher.unix_ahead_s = lambda: ahead_s[0]
+    heard_ms = rig.dispatcher.now()
     listed(rig, heard_ms - 8_000.0)
     rig.step(500.0)
     ahead_s[0] = -3600.0
-    rig.host.check_wall_clock()
-    (executor,) = rig.host.front_end.executors.values()
+    rig.dispatcher.check_wall_clock()
+    (executor,) = rig.dispatcher.front_end.executors.values()
     assert executor.endpoint.started_ms == heard_ms
 
 
 def test_no_executor_that_has_gone_is_remembered():
     rig = Rig(1)
-    listed(rig, rig.host.now())
+    listed(rig, rig.dispatcher.now())
     rig.lists({0: "gone"})
     rig.step(8_000.0)
-    assert rig.host.starts.all_own_ms() == {} and Log
+    assert rig.dispatcher.starts.all_own_ms() == {} and Log
