--- a/petrelway/emulator/executor_channel.py
+++ b/petrelway/emulator/executor_channel.py
@@ -236,7 +236,9 @@
         if wire.life.machine is not None:
             wire.life.machine.cancel_attempt(wire, serial, number)
 
-    def request_load(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
+    def request_load(
+        self, id: int, function: str, replicas: int, memory_mb: float, lanes: int
+    ) -> Outcome | None:
         wire = self._connected()
         if wire is None:
             return Outcome.UNREACHABLE
--- a/petrelway/gateway/pending_requests.py
+++ b/petrelway/gateway/pending_requests.py
@@ -67,6 +67,7 @@
     answer: PendingAnswer | None = field(init=False)  # None: answered, or its client has left
 
     def __post_init__(self) -> None:
+        """Make the Deferred that carries the answer."""
         self.answer = PendingAnswer(self._cancelled, self._abandoned)
 
     def _cancelled(self, _: defer.Deferred) -> None:
--- a/petrelway/node/executor_pool.py
+++ b/petrelway/node/executor_pool.py
@@ -303,7 +303,9 @@
                 w.spent = True
                 w.tidy()
 
-    def request_load(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
+    def request_load(
+        self, id: int, function: str, replicas: int, memory_mb: float, lanes: int
+    ) -> Outcome | None:
         """An order to load; an outcome if it could not be handed over."""
         return self._ask(id, QuestionKind.LOAD, lambda own: frames.order(own, function, replicas))
 
