--- a/petrelway/console/pages.py
+++ b/petrelway/console/pages.py
@@ -36,13 +36,13 @@
 
 def executors(d: Any, asked: dict[str, str]) -> Generator[None, None, dict[str, Any]]:
     """Per zone and executor: stage, pace, backlog, why it is avoided."""
-    host, now = d.host, d.now()
+    host, now = d.dispatcher, d.now()
     rows: list[dict[str, Any]] = []
     minute = d.telemetry.service(now, 60).get("executor", {})
     yield
-    for row in explainer.executors(host.front_end, host.executors.wire, host.zones.wire, now):
+    for row in explainer.executors(host.front_end, host.executors.outside_ids, host.zones.outside_ids, now):
         row["last minute"] = minute.get(row["executor"], {})
-        link = host.links.get(host.executors.index.get(row["executor"], -1))
+        link = host.channels.get(host.executors.indices.get(row["executor"], -1))
         row["link"] = "up" if link is not None and link.ready else "down"
         row["executor"] = short(row["executor"])
         rows.append(row)
@@ -53,8 +53,8 @@
 
 def functions(d: Any, asked: dict[str, str]) -> Generator[None, None, dict[str, Any]]:
     """Per function where it is believed warm; the hot ones by the sketch."""
-    host, now = d.host, d.now()
-    known = {index: f.name for index, f in host.known.items()}
+    host, now = d.dispatcher, d.now()
+    known = {index: f.name for index, f in host.known_functions.items()}
     yield
     wanted = asked.get("search", "")
     found = [index for index, name in known.items() if wanted in name]
@@ -62,7 +62,7 @@
     rows = []
     for index in sorted(found, key=known.__getitem__)[start : start + ROWS_BOUND]:
         if index in host.front_end.functions:
-            row = explainer.function(host.front_end, index, known[index], host.executors.wire, now)
+            row = explainer.function(host.front_end, index, known[index], host.executors.outside_ids, now)
             row["function"] = short(row["function"])
             rows.append(row)
         yield
--- a/petrelway/node/client_connection.py
+++ b/petrelway/node/client_connection.py
@@ -12,7 +12,8 @@
 from twisted.internet import defer, protocol
 from twisted.python.failure import Failure
 
-from ..gateway.dispatcher import REJECTED, SUCCEEDED, Answer, PendingAnswer
+from ..gateway.answers import Answer, Completion
+from ..gateway.pending_requests import PendingAnswer
 from ..platform import client_answers
 from ..platform.client_answers import ClientLineError, ErrorCode
 from ..platform.client_codec import LineBuffer
@@ -219,9 +220,9 @@
         self._request_ended(number)
         if self.state.phase is Phase.CLOSED:
             return
-        if answer.kind == SUCCEEDED:
+        if answer.completion == Completion.SUCCEEDED:
             self.transport.write(client_answers.success_line(number, answer.body))
-        elif answer.kind == REJECTED:
+        elif answer.completion == Completion.REJECTED:
             self.transport.write(client_answers.rejection_line(number, answer.retry_ms))
         else:
             self.transport.write(client_answers.failure_line(number))
@@ -277,7 +278,7 @@
             self.transport.resumeProducing()  # the client's close is seen, anything else is dropped
         if self.state.end(reason):
             for answer in list(self.answers.values()):
-                answer.give_up()
+                answer.abandon()
         self._close_if_settled()
 
     def _close_if_settled(self) -> None:
--- a/petrelway/node/connection_set.py
+++ b/petrelway/node/connection_set.py
@@ -15,9 +15,9 @@
 from twisted.internet import interfaces
 from twisted.python.failure import Failure
 
-from ..gateway.attempt_ledger import Key
+from ..gateway.attempt_ledger import AttemptKey
 from ..gateway.backoff import Backoff
-from ..gateway.channel_base import CLOGGED_MS, LinkListener, SocketLinkReports
+from ..gateway.channel_base import CLOGGED_MS, ChannelListener, SocketChannelReports
 from ..gateway.connection_end_reasons import EndReason, failure_reason
 from .executor_connection import ExecutorConnectionProtocol
 
@@ -54,7 +54,7 @@
     since_ms: float
 
 
-class ConnectionSet(SocketLinkReports):
+class ConnectionSet(SocketChannelReports):
     """One executor's connections, with what is in flight on them. Takes the arguments of `ExecutorPool`."""
 
     def __init__(
@@ -68,7 +68,7 @@
         clock: interfaces.IReactorTime,
         connect: Callable,
         random_source: random.Random,
-        listener: LinkListener,
+        listener: ChannelListener,
         log,
         budget: ConnectionBudget,
         streams: int,
@@ -98,12 +98,12 @@
         self.dial_not_before_ms = 0.0
         self.spare_backoff = Backoff(random_source, MIN_SPARE_RETRY_MS, MAX_SPARE_RETRY_MS)
         self.spare_not_before_ms = 0.0  # no dial ahead of need before this
-        self.said_reasons = set[EndReason]()
+        self.logged_reasons = set[EndReason]()
         self.connections: list[ExecutorConnectionProtocol] = []
-        self.locations: dict[Key, AttemptLocation] = {}
+        self.locations: dict[AttemptKey, AttemptLocation] = {}
         self.closed = False
         self.removed = False  # from the endpoint list
-        self.said_down = False
+        self.outage_logged = False
         self.sweep_call = clock.callLater(0, self._sweep)
 
     def now(self) -> float:
@@ -166,7 +166,7 @@
             attempt.cancel()
         if was_up:
             self._close_transport(connection, reason)
-        ends = connection.ledger.broke()
+        ends = connection.ledger.end_all()
         questions = list(connection.questions.values())
         connection.open_attempts.clear()
         connection.questions.clear()
@@ -223,7 +223,7 @@
                 ready = True
         if not ready and now >= self.spare_not_before_ms and self._may_dial():
             self._dial()
-        if self.said_down and any(c.up and now - c.up_ms >= SWEEP_INTERVAL_MS for c in self.connections):
+        if self.outage_logged and any(c.up and now - c.up_ms >= SWEEP_INTERVAL_MS for c in self.connections):
             # not earlier: an executor that accepts and resets would be logged without end
             self.log_up()
 
--- a/petrelway/node/executor_connection.py
+++ b/petrelway/node/executor_connection.py
@@ -11,8 +11,8 @@
 from twisted.internet import protocol
 from twisted.python.failure import Failure
 
-from ..gateway.attempt_ledger import Key, Ledger
-from ..gateway.channel_base import BUFFER_BYTES, NO_LOAD, Question
+from ..gateway.attempt_ledger import AttemptKey, AttemptLedger
+from ..gateway.channel_base import BUFFER_BYTES, NO_LOAD, QuestionKind
 from ..gateway.connection_end_reasons import EndReason, failure_reason
 from ..platform import executor_codec
 from ..platform.errors import ProtocolError
@@ -31,7 +31,7 @@
     """A load request or a probe that is in flight; `id` is the dispatcher's."""
 
     id: int
-    question: Question
+    question: QuestionKind
 
 
 class ExecutorConnectionProtocol(protocol.Protocol):
@@ -40,10 +40,10 @@
     def __init__(self, pool: ConnectionSet, now: float) -> None:
         """Start with nothing in flight; the pool dials."""
         self.pool = pool
-        self.ledger = Ledger(pool.streams)
+        self.ledger = AttemptLedger(pool.streams)
         self.reader = executor_codec.ExecutorFrameReader(self)
-        self.waiting: dict[Key, OpaqueRequest] = {}  # not handed to the transport yet
-        self.open_attempts: dict[bytes, Key] = {}  # waiting or in flight, by request id
+        self.waiting: dict[AttemptKey, OpaqueRequest] = {}  # not handed to the transport yet
+        self.open_attempts: dict[bytes, AttemptKey] = {}  # waiting or in flight, by request id
         self.questions: dict[bytes, PendingQuestion] = {}  # in flight, by the id on the wire
         self.abandoned_ids: dict[bytes, None] = {}  # in order; must not be used on this connection again
         self.up = False
@@ -155,7 +155,7 @@
             pool.listener.attempt_ended(pool.executor, key, outcome, warmth, queue_length, NO_LOAD, "", body)
             return
         pending = self.questions.pop(id, None)
-        if pending is not None and pending.question is Question.LOAD:
+        if pending is not None and pending.question is QuestionKind.LOAD:
             pool.listener.load_request_answered(pool.executor, pending.id, outcome, replicas)
         else:
             pool.budget.counts["late answers" if id in self.abandoned_ids else "unmatched answers"] += 1
@@ -181,7 +181,7 @@
         """Whether this id is in use here, or was abandoned here."""
         return id in self.open_attempts or id in self.abandoned_ids or id in self.questions
 
-    def add_attempt(self, key: Key, request: OpaqueRequest, remaining_ms: float) -> None:
+    def add_attempt(self, key: AttemptKey, request: OpaqueRequest, remaining_ms: float) -> None:
         """Take an attempt; it is handed over now if nothing else waits."""
         self.ledger.wait(key)
         self.waiting[key] = request
@@ -207,7 +207,7 @@
 
     def hand_over_waiting(self) -> None:
         """Write what has waited, if it may still be sent."""
-        expired = self.pool.drain(self.waiting, self._is_writable, self._hand_over)
+        expired = self.pool.send_waiting(self.waiting, self._is_writable, self._hand_over)
         if expired:
             self.pool.budget.counts["expired before hand-over"] += expired
 
--- a/petrelway/node/executor_pool.py
+++ b/petrelway/node/executor_pool.py
@@ -11,8 +11,8 @@
 
 from collections.abc import Callable
 
-from ..gateway.attempt_ledger import Key
-from ..gateway.channel_base import Question
+from ..gateway.attempt_ledger import AttemptKey
+from ..gateway.channel_base import QuestionKind
 from ..gateway.connection_end_reasons import EndReason
 from ..platform import executor_codec
 from ..platform.opaque_request import OpaqueRequest
@@ -31,7 +31,7 @@
 
     def send(
         self,
-        key: Key,
+        key: AttemptKey,
         mark: str,
         function: str,
         memory_mb: float,
@@ -51,7 +51,7 @@
         self.locations[key] = AttemptLocation(connection, body.request_id, self.now())
         connection.add_attempt(key, body, remaining_ms)
 
-    def _report_unsent(self, key: Key) -> None:
+    def _report_unsent(self, key: AttemptKey) -> None:
         """Report at once, also between two dials.
 
         An attempt that is queued meanwhile would hide the outage.
@@ -86,12 +86,12 @@
             return False
         return len(connection.open_attempts) < self.streams
 
-    def cancel_attempt(self, key: Key, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
+    def cancel_attempt(self, key: AttemptKey, outcome: Outcome = Outcome.CANCELLED) -> Outcome | None:
         """End an attempt that nobody waits for; give its outcome, or None if it is not in flight here."""
         if key not in self.locations:
             return None
         connection, request_id, since_ms = self.locations.pop(key)
-        handed_over, ended = connection.ledger.give_up(key, outcome)
+        handed_over, ended = connection.ledger.abandon(key, outcome)
         connection.waiting.pop(key, None)
         del connection.open_attempts[request_id]
         if handed_over:
@@ -117,17 +117,19 @@
 
     # -- load requests and probes
 
-    def order(self, id: int, function: str, replicas: int, memory_mb: float, lanes: int) -> Outcome | None:
+    def request_load(
+        self, id: int, function: str, replicas: int, memory_mb: float, lanes: int
+    ) -> Outcome | None:
         """Send a load request; an outcome if it could not be handed over."""
 
         def encode(wire_id: bytes) -> bytes:
             return executor_codec.encode_load_request(wire_id, function, replicas)
 
-        return self._send_question(PendingQuestion(id, Question.LOAD), encode)
+        return self._send_question(PendingQuestion(id, QuestionKind.LOAD), encode)
 
     def probe(self, id: int) -> Outcome | None:
         """Send a probe; an outcome if it could not be handed over."""
-        return self._send_question(PendingQuestion(id, Question.PROBE), executor_codec.encode_probe)
+        return self._send_question(PendingQuestion(id, QuestionKind.PROBE), executor_codec.encode_probe)
 
     def _send_question(self, pending: PendingQuestion, encode: Callable[[bytes], bytes]) -> Outcome | None:
         connection = self._choose_for_question()
--- a/petrelway/node/lifecycle.py
+++ b/petrelway/node/lifecycle.py
@@ -9,7 +9,7 @@
 
 from twisted.internet import defer, interfaces
 
-from ..gateway.dispatcher import Host
+from ..gateway.dispatcher import Dispatcher
 from ..sockets.listening import Listener
 from .client_connection import ABORT_TIMEOUT_MS
 from .client_listener import ClientListener
@@ -26,7 +26,7 @@
         self,
         clock: interfaces.IReactorTime,
         log,
-        dispatcher: Host,
+        dispatcher: Dispatcher,
         client_listener: ClientListener,
         port: interfaces.IListeningPort,
         longest_deadline_ms: float,
@@ -42,7 +42,7 @@
     @defer.inlineCallbacks
     def drain(self):
         """Serve on for a moment, then answer what is open and flush it."""
-        self.log.info("front end draining", open=self.dispatcher.owed)
+        self.log.info("front end draining", open=self.dispatcher.unanswered)
         yield self._pause(ACCEPT_AFTER_SIGTERM_MS)
         yield self._stop_listening()
         self.client_listener.drain()
@@ -64,9 +64,9 @@
     @defer.inlineCallbacks
     def _finish_requests(self):
         timeout_ms = self.longest_deadline_ms + DEADLINE_MARGIN_MS
-        finished = yield self._fires_within(self.dispatcher.nothing_owed(), timeout_ms)
+        finished = yield self._fires_within(self.dispatcher.all_answered(), timeout_ms)
         if not finished:
-            self.log.error("requests open past every deadline", open=self.dispatcher.owed)
+            self.log.error("requests open past every deadline", open=self.dispatcher.unanswered)
             self.dispatcher.fail_all()
 
     @defer.inlineCallbacks
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -16,8 +16,10 @@
 
 from ..common.endpoint_entry import EndpointEntry
 from ..daemon.shedding import Shedder
-from ..gateway.dispatcher import Function, Host, PendingAnswer
+from ..gateway.dispatcher import Dispatcher
+from ..gateway.function_spec import FunctionSpec
 from ..gateway.outgoing_connections import connector
+from ..gateway.pending_requests import PendingAnswer
 from ..membership.service import FleetService
 from ..platform.client_codec import ClientMessageReader
 from ..platform.configuration import Configuration, Endpoint
@@ -111,13 +113,13 @@
             port=configuration.port,
             sockets=sockets,
             memory_mb=configuration.memory_mb,
-            executors=len(self.dispatcher.links),
+            executors=len(self.dispatcher.channels),
         )
 
-    def _make_dispatcher(self, random_source: random.Random) -> Host:
+    def _make_dispatcher(self, random_source: random.Random) -> Dispatcher:
         configuration = self.configuration
         terms = configuration.terms
-        return Host(
+        return Dispatcher(
             self.reactor,
             terms.front_end(self.now(), configuration.seed),
             configuration.name,
@@ -130,7 +132,7 @@
             self.connect,
             random_source,
             self.log,
-            link=self._make_executor_pool,
+            make_channel=self._make_executor_pool,
             unix_ahead_s=self.unix_ahead_s,
         )
 
@@ -212,7 +214,7 @@
         executor_at = {
             (entry.address, entry.port): entry.executor for entry in entries if entry.stage != "gone"
         }
-        for pool in self.dispatcher.links.values():
+        for pool in self.dispatcher.channels.values():
             entry = entry_of.get(pool.stable)
             gone = entry.stage == "gone" if entry is not None else complete
             # a new executor at the same endpoint would be taken for the one that is gone
@@ -240,7 +242,7 @@
         load_ms: float,
     ) -> PendingAnswer:
         """Hand a request to the dispatcher, with what is really left of its client's time."""
-        function = Function(request.function, memory_mb, concurrency or 1, load_ms)
+        function = FunctionSpec(request.function, memory_mb, concurrency or 1, load_ms)
         return self.dispatcher.take(
             request_class,
             tenant,
@@ -262,9 +264,9 @@
         now = self.now()
         dispatcher = self.dispatcher
         self.admission.lag_measured(now - due_ms)
-        dispatcher.look_at_wall_clock()
+        dispatcher.check_wall_clock()
         connections = len(self.client_listener.connections)
-        self.admission.load_measured(dispatcher.owed, dispatcher.held_bytes, connections)
+        self.admission.load_measured(dispatcher.unanswered, dispatcher.unanswered_bytes, connections)
         next_due_ms = now + PULSE_INTERVAL_MS
         self.pulse_call = self.reactor.callLater(PULSE_INTERVAL_MS / 1e3, self._pulse, next_due_ms)
 
--- a/petrelway/platform/configuration.py
+++ b/petrelway/platform/configuration.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..common.deployment_settings import DeploymentSettingsError, Terms, read_terms
+from ..common.deployment_settings import DeploymentSettings, DeploymentSettingsError, read_deployment_settings
 from .errors import ProtocolError
 
 MIN_SOCKETS = 64  # fewer descriptors leave no capacity for clients and executors
@@ -42,7 +42,7 @@
     memory_mb: float
     event_bus: Endpoint
     initial_events: Any  # discovery events up to the start, as decoded JSON
-    terms: Terms
+    terms: DeploymentSettings
 
 
 class PeerConfiguration(NamedTuple):
@@ -64,7 +64,7 @@
     if sockets < MIN_SOCKETS:
         raise ProtocolError(f"limits.sockets: found {sockets:g}; allowed: {MIN_SOCKETS} or more")
     try:
-        terms = read_terms(document.get("settings"))
+        terms = read_deployment_settings(document.get("settings"))
     except DeploymentSettingsError as error:
         raise ProtocolError(str(error)) from error
     return Configuration(
@@ -86,7 +86,7 @@
     `read_configuration` has accepted it before. Raises ProtocolError.
     """
     document = msgspec.json.decode(data)
-    terms = read_terms(document.get("settings"))
+    terms = read_deployment_settings(document.get("settings"))
     if not terms.capabilities.tell:
         return None
     addresses = document.get("peers")
--- a/petrelway/simulator_adapter/codec.py
+++ b/petrelway/simulator_adapter/codec.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..common.deployment_settings import DeploymentSettingsError, read_terms
-from ..common.index_table import Ids
+from ..common.deployment_settings import DeploymentSettingsError, read_deployment_settings
+from ..common.index_table import IndexTable
 from ..routing.types import Action, ActionKind, Endpoint, Outcome, Stage, Warmth
 
 STAGES = {"active": Stage.READY, "leaving": Stage.DRAINING, "left": Stage.GONE}
@@ -56,11 +56,11 @@
     def __init__(self, name: str, now: float, seed: int, settings: dict[str, Any]) -> None:
         """Begin the instance. Raises WireError if its settings are not sound."""
         self.name = name
-        self.requests = Ids()
-        self.executors = Ids()
-        self.functions = Ids()
+        self.requests = IndexTable()
+        self.executors = IndexTable()
+        self.functions = IndexTable()
         try:
-            self.front_end = read_terms(settings).front_end(now, seed)
+            self.front_end = read_deployment_settings(settings).front_end(now, seed)
         except DeploymentSettingsError as error:
             raise WireError(f"begin of {name}: {error}") from error
 
@@ -80,14 +80,14 @@
         while (action := self.front_end.decide(now)) is not None:
             found.append(self._action(action))
         freed = self.front_end.released()
-        self.requests.leave(freed.requests)
-        self.executors.leave(freed.executors)
-        self.functions.leave(freed.functions)
+        self.requests.release(freed.requests)
+        self.executors.release(freed.executors)
+        self.functions.release(freed.functions)
         return found
 
     def _request_taken(self, now: float, item: list[Any]) -> None:
         wire_id, start_ms, cost_s, ttl_s, lanes, name, request_class, tenant, marks, memory_mb = item[2:12]
-        function, is_new = self.functions.enter(name)
+        function, is_new = self.functions.add(name)
         if is_new:
             self.front_end.function_named(
                 now, function, str(name), memory_mb or 0.0, lanes or 1, start_ms or 0.0
@@ -95,7 +95,7 @@
         hinted_s = cost_s if cost_s and (marks or 0) & COST_HINTED else 0.0
         if not 0 <= (request_class or 0) < len(self.front_end.request_classes):
             raise WireError(f"knock names class {request_class}, which the settings do not list")
-        request, _ = self.requests.enter(wire_id)
+        request, _ = self.requests.add(wire_id)
         self.front_end.request_taken(
             now,
             request,
@@ -109,7 +109,7 @@
 
     def _attempt_ended(self, now: float, item: list[Any]) -> None:
         wire_id, number, _, code, took_s, finished, remark = [*item[2:], None][:7]
-        request = self.requests.index.get(wire_id)
+        request = self.requests.indices.get(wire_id)
         if request is None:
             return
         self.front_end.attempt_ended(
@@ -132,18 +132,18 @@
         self.front_end.executors_listed(now, endpoints, item[3] != PARTIAL_LIST)
 
     def _client_gone(self, now: float, item: list[Any]) -> None:
-        request = self.requests.index.get(item[2])
+        request = self.requests.indices.get(item[2])
         if request is not None:
             self.front_end.client_gone(now, request)
 
     def _load_request_answered(self, now: float, item: list[Any]) -> None:
         code, took_s, executor, name, replicas = item[2:7]
-        function = self.functions.index.get(name)
+        function = self.functions.indices.get(name)
         if function is None:
             return
         self.front_end.load_request_answered(
             now,
-            self.executors.index.get(executor, UNKNOWN_INDEX),
+            self.executors.indices.get(executor, UNKNOWN_INDEX),
             function,
             _outcome(code),
             replicas or 0,
@@ -155,9 +155,9 @@
         return [ACTION_NAMES[action.kind], self.name, *self._arguments(action)]
 
     def _arguments(self, action: Action) -> list[Any]:
-        request = self.requests.wire.get(action.request)
-        executor = self.executors.wire.get(action.executor)
-        function = self.functions.wire.get(action.function)
+        request = self.requests.outside_ids.get(action.request)
+        executor = self.executors.outside_ids.get(action.executor)
+        function = self.functions.outside_ids.get(action.function)
         match action.kind:
             case ActionKind.SEND:
                 return [request, executor, action.ms / MS_PER_S]
@@ -182,7 +182,7 @@
         wire, zone, machine, cell, stage, weight, started = [*entry, None, None][:7]
         if stage not in STAGES:
             raise WireError(f"topology names an unknown state {stage!r}")
-        index, _ = self.executors.enter(wire)
+        index, _ = self.executors.add(wire)
         return Endpoint(
             index,
             wire,
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -450,9 +450,7 @@
         host.fe.load_request_answered(host.now, 0, 0, Outcome.ERROR, 0, 10.0)
     assert host.fe.prefetch_limit == 1.0  # one at a time at the least
     host.pull(70_000.0)
-    assert (
-        not host.fe.prefetch_wanted and not host.fe.prefetches
-    )  # not wanted for ever
+    assert not host.fe.prefetch_wanted and not host.fe.prefetches  # not wanted for ever
 
 
 def test_the_most_asked_for_is_loaded_first():
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -158,12 +158,12 @@
     client.dataReceived(request())
     rig.step(20)
     ((wire, command),) = rig.sent()
-    old = next(link for link in rig.node.dispatcher.links.values() if link.stable == "s-00000001")
+    old = next(link for link in rig.node.dispatcher.channels.values() if link.stable == "s-00000001")
     assert old.locations
     rig.bus[0].dataReceived(event(2, 2, record(2, 7001)))
     assert not old.connections and old.removed  # what was out there ended: it may have run
     rig.step(300)
-    fresh = next(link for link in rig.node.dispatcher.links.values() if link.stable == "s-00000002")
+    fresh = next(link for link in rig.node.dispatcher.channels.values() if link.stable == "s-00000002")
     assert fresh.connections
     rig.bus[0].dataReceived(event(3, 2, record(2, 7001, state=2)))
     assert fresh.removed and not fresh.connections  # one that has gone is let go at once
@@ -175,7 +175,7 @@
     client.dataReceived(request())
     rig.step(20)
     old = rig.bus
-    wires = [link.connections[:] for link in rig.node.dispatcher.links.values()]
+    wires = [link.connections[:] for link in rig.node.dispatcher.channels.values()]
     rig.file = b"{"
     rig.node.reload()
     assert not old[1].closed and rig.log.events()[-1].startswith("configuration rejected")
@@ -186,7 +186,7 @@
     assert old[1].aborted and rig.bus[1].take() == b"\x00" * 7 + b"\x01"
     rig.node.reload()
     assert not rig.bus[1].closed  # the same place: nothing to do
-    assert [link.connections for link in rig.node.dispatcher.links.values()] == wires and not pipe.closed
+    assert [link.connections for link in rig.node.dispatcher.channels.values()] == wires and not pipe.closed
     rig.step(100, serve=True)
     assert said(pipe)[0]["result"]
 
@@ -238,7 +238,7 @@
     assert not rig.reactor.port.open and idle[1].closed and not usual[1].closed and not left
     usual[0].dataReceived(request(2, call=f"{3:016x}"))  # too late: refused at once
     assert said(usual[1])[0]["error"]["code"] == -32014
-    for wires in (link.connections for link in rig.node.dispatcher.links.values()):
+    for wires in (link.connections for link in rig.node.dispatcher.channels.values()):
         for wire in list(wires):
             for id in list(wire.open_attempts):
                 wire.dataReceived(answer(100, id))
@@ -258,7 +258,9 @@
     rig.step(4000 + ACCEPT_AFTER_SIGTERM_MS)
     assert left and len(said(pipe)) == 1  # within its own time
     rig = Rig()
-    rig.node.dispatcher.owed += 1  # should one never be answered, by whatever fault: it ends and says so
+    rig.node.dispatcher.unanswered += (
+        1  # should one never be answered, by whatever fault: it ends and says so
+    )
     rig.node.stopService().addCallback(left.append)
     rig.step(4000 + ACCEPT_AFTER_SIGTERM_MS + 500)
     assert len(left) == 2 and "requests open past every deadline" in rig.log.events()
@@ -269,16 +271,16 @@
     tables = {
         "door": (node.client_listener.connections, node.client_listener.open_requests),
         "host": (
-            host.taken,
-            host.links,
-            host.known,
+            host.pending,
+            host.channels,
+            host.known_functions,
             host.load_requests,
-            host.requests.index,
-            host.executors.index,
-            host.functions.index,
+            host.requests.indices,
+            host.executors.indices,
+            host.functions.indices,
         ),
-        "module": (fe.requests, fe.executors, fe.functions, fe.ready, fe.attention, fe.wanted),
-        "links": [link.locations for link in host.links.values()],
+        "module": (fe.requests, fe.executors, fe.functions, fe.ready, fe.ready_queue, fe.missed_functions),
+        "links": [link.locations for link in host.channels.values()],
     }
     return {name: [len(t) for t in some] for name, some in tables.items()}
 
@@ -300,7 +302,7 @@
         rig.step(20, serve=True)
         if turn % 3:
             client.connectionLost(lost())
-    assert len(rig.node.dispatcher.known) > 1000 and len(rig.node.dispatcher.links) > 100
+    assert len(rig.node.dispatcher.known_functions) > 1000 and len(rig.node.dispatcher.channels) > 100
     last = [record(1000 + turn, 7002 + turn % 20, 2) for turn in range(1180, 1200)]
     rig.bus[0].dataReceived(event(number + 1, 2, *last))
     for _ in range(80):
@@ -315,7 +317,7 @@
     rig.node.admission.lag_ms = 200.0
     client, _ = rig.client()
     client.dataReceived(request(1, call=CALL, ttl=1000))
-    taken = next(iter(rig.node.dispatcher.taken.values()))
+    taken = next(iter(rig.node.dispatcher.pending.values()))
     left_ms = taken.deadline_ms - rig.reactor.seconds() * 1e3
     assert 700.0 < left_ms < 800.0
 
