--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -279,7 +279,7 @@
             host.executors.indices,
             host.functions.indices,
         ),
-        "module": (fe.requests, fe.executors, fe.functions, fe.ready, fe.ready_queue, fe.missed_functions),
+        "module": (fe.requests, fe.executors, fe.functions, fe.ready, fe.ready_queue, fe.prefetch_wanted),
         "links": [link.locations for link in host.channels.values()],
     }
     return {name: [len(t) for t in some] for name, some in tables.items()}
