--- a/petrelway/policy/change_coordinator.py
+++ b/petrelway/policy/change_coordinator.py
@@ -1,5 +1,5 @@
 """What a leader does for a change of policy, without I/O: prepare all members, decide on one activation time,
-notify; and who stood in the way.
+notify; and which members block it.
 
 Made anew when a leader is elected: what it knows of members it has heard itself, since then. Times are ms of
 the leader's clock, unless a name says otherwise. Why each rule is needed: docs/policy.md.
@@ -134,7 +134,7 @@
 
     def port_probed(self, name: str, began_ms: float, refused: bool) -> None:
         """A refused connection proves that the process is gone, and whoever starts there asks before it
-        serves. An attempt that began before this leader led, or before the member was told that it may serve,
+        serves. An attempt that began before this leader led, or before the member was allowed to serve,
         proves nothing: `reason_to_proceed` compares the times."""
         member = self.members.get(name)
         if member is not None and refused:
@@ -260,7 +260,7 @@
 
     def reason_to_proceed(self, now: float, name: str, member: MemberRecord) -> str:
         """Why the change may go on as far as this member goes, or nothing. What is said of it stays true
-        until it is told anew that it may serve."""
+        until it is allowed to serve anew."""
         if member.has_accepted(self.prepared_index) and member.sample is not None:
             return "yes"
         known_since_ms = max(self.started_ms, member.admitted_ms)
--- a/petrelway/policy/log_entries.py
+++ b/petrelway/policy/log_entries.py
@@ -1,7 +1,7 @@
-"""The entries of the policy log, and what a voter keeps of it on its disk.
+"""The entries of the policy log, and what a voter stores of it on its disk.
 
 Class names and field names of the first version are outside forms (wire, file, snapshot): `tag` and `name`
-keep them where the code says it in other words.
+keep them where the code uses another name.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class TaggedStruct(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=False):
-    """A message or an entry, told apart by its tag. Fields that a later version may add are ignored."""
+    """A message or an entry, distinguished by its tag. Fields that a later version may add are ignored."""
 
 
 class ActivationTime(msgspec.Struct, frozen=True, kw_only=True):
--- a/petrelway/policy/member_record.py
+++ b/petrelway/policy/member_record.py
@@ -35,7 +35,7 @@
     answered_index: int = 0  # the proposal that its last answer is about
     accepted: bool = False
     refusal: str = ""
-    admitted_ms: float = -math.inf  # when it was last told that it may serve
+    admitted_ms: float = -math.inf  # when it was last allowed to serve
     gone_ms: float = -math.inf  # its port refused a connection attempt that began then
     left: bool = False  # it said so, and so its port will refuse
     notified_ms: float = -math.inf
--- a/petrelway/policy/notifications.py
+++ b/petrelway/policy/notifications.py
@@ -21,7 +21,7 @@
 
 def answer_queries(coordinator: ChangeCoordinator, now: float) -> None:
     """Answer those that asked what holds. A leader that is none any more would give an old answer, so a
-    majority must have heard it since; and a member told to serve while a change is decided without it
+    majority must have heard it since; and a member allowed to serve while a change is decided without it
     would serve under the old policy."""
     for name, member in coordinator.members.items():
         query = member.query
--- a/petrelway/policy/policy_holder.py
+++ b/petrelway/policy/policy_holder.py
@@ -195,7 +195,7 @@
         return ""
 
     def receive_notification(self, now: float, message: PolicyNotification) -> bool:
-        """Take in what holds by a leader's word; whether it was news. A late message undoes nothing."""
+        """Take in what holds as a leader says; whether it was news. A late message undoes nothing."""
         self.admitting_policy(now)
         outdated = message.state_index < self.state_index or message.term < self.term
         if message.token != self.token or outdated:
@@ -275,8 +275,8 @@
         return LEASE_RENEWAL_INTERVAL_MS if self._is_leased() else None
 
     def _is_leased(self) -> bool:
-        """Whether the policy holds on a lease, or the next one will: that one would expire in the moment in
-        which it begins."""
+        """Whether the policy holds on a lease, or the next one will: that one would expire as soon as it
+        begins."""
         return self.policy.stop or (self.activation is not None and self.activation.policy.stop)
 
     def wake_ms(self, now: float) -> float:
--- a/tests/test_policy_process.py
+++ b/tests/test_policy_process.py
@@ -240,7 +240,7 @@
 
 
 def test_a_member_that_cannot_run_under_it_ends_it_everywhere(fleet):
-    """A document that is well formed, and that no front end can run under: two request classes of one name."""
+    """A well-formed document under which no front end can run: two request classes of one name."""
     version, request_classes = fleet.version(), fleet.terms["tariffs"]
     file = fleet.folder / "twice.json"
     file.write_text(json.dumps({**fleet.terms, "tariffs": [*request_classes, request_classes[0]]}))
