--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -19,7 +19,8 @@
 from petrelway.emulator.day import EmulatedDay
 from petrelway.invariants.checker import figures, judge
 from petrelway.routing.concurrency import LIMIT_DECREASE, LIMIT_LEAST
-from petrelway.routing.router import LOOK_AGAIN_MS, FrontEnd
+from petrelway.routing.inputs import LOOK_AGAIN_MS
+from petrelway.routing.router import FrontEnd
 from petrelway.routing.selection import SPARSE_VIEW
 from petrelway.routing.types import Action, ActionKind
 from petrelway.scenarios.baselines import LeastLoaded, RandomChoice
--- /dev/null
+++ b/petrelway/routing/inputs.py
@@ -0,0 +1,232 @@
+"""The inputs of the decisions: what a host says has happened.
+
+Mixed into `router.FrontEnd`. The methods only update what is known, and put the requests that are to be
+looked at in the ready queue.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+from collections.abc import Iterable
+
+from .concurrency import LIMIT_START
+from .hedging import Hedging
+from .latency import MEAN_GAIN
+from .monotonic_time import MonotonicTime
+from .outcomes import OutcomeLearning
+from .selection import DEMAND_SPAN_MS, Function
+from .state import Executor, Request, RequestTimes
+from .types import (
+    NEVER_RAN,
+    Capabilities,
+    Endpoint,
+    Outcome,
+    QuotaShare,
+    RequestClass,
+    Stage,
+    Tenant,
+    Warmth,
+)
+
+LOOK_AGAIN_MS = 40.0  # a waiting request is looked at again after this time
+ANSWER_MARGIN_MS = 6.0  # the final answer goes out this long before the client's deadline
+# A request waits for a load, or for an executor at all, at most this share of its deadline, or the objective.
+PATIENCE_SHARE = 0.5
+
+
+class Inputs(Hedging, OutcomeLearning):
+    """One method for each thing that may happen."""
+
+    clock: MonotonicTime
+    request_classes: list[RequestClass]
+    capabilities: Capabilities
+    functions: dict[int, Function]
+
+    def executors_listed(self, now: float, endpoints: Iterable[Endpoint], complete: bool) -> None:
+        """Take in a part of the endpoint list; if it is complete, what it lacks is gone."""
+        now = self.clock.enter(now)
+        listed = set()
+        for entry in endpoints:
+            endpoint = entry._replace(started_ms=self._local_start_ms(entry.started_ms))
+            listed.add(endpoint.executor)
+            self._list_executor(endpoint, now)
+        if complete:
+            for index, executor in self.executors.items():
+                if index not in listed and executor.endpoint.stage is not Stage.GONE:
+                    executor.list(executor.endpoint._replace(stage=Stage.GONE), now)
+        for function in self.functions.values():
+            self.ready_queue.extend(function.waiting)
+
+    def _list_executor(self, endpoint: Endpoint, now: float) -> None:
+        executor = self.executors.get(endpoint.executor)
+        if executor is None:
+            executor = Executor(endpoint, now, self.fleet, LIMIT_START)
+            self.executors[endpoint.executor] = executor
+        elif endpoint.started_ms > executor.endpoint.started_ms:
+            self._remove_skills(executor, *map(self.functions.__getitem__, executor.resume))
+            executor.restart(LIMIT_START)
+        executor.list(endpoint, now)
+
+    def function_named(
+        self, now: float, function: int, stable: str, memory_mb: float, lanes: int, load_ms: float
+    ) -> None:
+        """Once for each index, before the function's first request."""
+        now = self.clock.enter(now)
+        self.functions[function] = Function(function, stable, lanes, load_ms, now)
+
+    def request_taken(
+        self,
+        now: float,
+        request: int,
+        request_class: int,
+        tenant: int,
+        function: int,
+        remaining_ms: float,
+        work_ms: float,
+        repeat: bool,
+    ) -> None:
+        """A request came in, with so much time to its deadline; `work_ms` is its hinted cost, or 0."""
+        now = self.clock.enter(now)
+        known = self.functions[function]
+        cost_ms = work_ms or known.mean_ms or self.mean_ms
+        self._record_demand(known, cost_ms, now)
+        settings = self.request_classes[request_class]
+        jitter = self.random_source.random()
+        taken = Request(
+            request,
+            request_class,
+            settings,
+            self.capabilities,
+            tenant,
+            known,
+            cost_ms,
+            work_ms,
+            now,
+            _request_times(now, remaining_ms, settings),
+            repeat,
+            jitter,
+        )
+        self.requests[request] = taken
+        self.gate.taken.append(now)
+        self._earn_hedge()
+        self.ready_queue.append(request)
+        heapq.heappush(self.timers, (taken.answer_deadline_ms, request))
+
+    def _record_demand(self, function: Function, cost_ms: float, now: float) -> None:
+        self.mean_cost_ms += MEAN_GAIN * (cost_ms - self.mean_cost_ms)
+        self.demand = self.demand * math.exp((self.demand_at_ms - now) / DEMAND_SPAN_MS) + cost_ms
+        faded = function.demand * math.exp((function.last_used_ms - now) / DEMAND_SPAN_MS)
+        function.demand = faded + cost_ms
+        self.demand_at_ms = now
+        function.last_used_ms = now
+
+    def attempt_ended(
+        self,
+        now: float,
+        request: int,
+        number: int,
+        outcome: Outcome,
+        took_ms: float,
+        finished: bool,
+        warmth: Warmth,
+    ) -> None:
+        """An attempt ended; `finished`: the request got its final answer by it."""
+        now = self.clock.enter(now)
+        known = self.requests.get(request)
+        attempt = known.in_flight.pop(number, None) if known else None
+        if known is None or attempt is None:
+            return
+        executor = attempt.executor
+        del executor.in_flight[request, number]
+        self.attempts_in_flight -= not attempt.overdue
+        executor.adjust_load(-attempt.busy)
+        if not self.loading_settings.answers_miss:
+            executor.loaded(known.function.index)
+        if outcome not in NEVER_RAN:
+            known.possible_runs.append(attempt.possible_run())
+        known.answered = known.answered or finished
+        started_ms = executor.endpoint.started_ms
+        if attempt.sent_ms >= started_ms or not started_ms:
+            self._learn(now, known, attempt, outcome, took_ms, warmth)
+        if outcome not in (Outcome.SUCCEEDED, Outcome.CANCELLED, Outcome.MISS):
+            known.failed_executors.add(executor.endpoint.executor)
+        self.ready_queue.append(request)
+
+    def load_request_answered(
+        self, now: float, executor: int, function: int, outcome: Outcome, replicas: int, took_ms: float
+    ) -> None:
+        """A load request ended, with so many replicas loaded."""
+        now = self.clock.enter(now)
+        self.prefetches.pop((executor, function), None)
+        loader = self.executors.get(executor)
+        loaded = self.functions.get(function)
+        if loader is None or loaded is None:
+            return
+        loader.loaded(function)
+        self._adjust_prefetch_limit(loaded, outcome, took_ms, now)
+        if outcome is Outcome.SUCCEEDED and replicas > 0:
+            self._add_skill(loader, loaded, now)
+            self._record_load(loaded, took_ms)
+        self.ready_queue.extend(loaded.waiting)
+
+    def client_gone(self, now: float, request: int) -> None:
+        """The client cancelled its request, or left: no answer is owed any more."""
+        self.clock.enter(now)
+        if known := self.requests.get(request):
+            known.answered = True
+            if known.taken_ms in self.gate.taken:  # hundreds cancelled at once would earn load requests
+                self.gate.taken.remove(known.taken_ms)
+            self.ready_queue.append(request)
+
+    def request_abandoned(self, now: float, request: int) -> None:
+        """The request's connection ends: its one final answer is due now."""
+        now = self.clock.enter(now)
+        if known := self.requests.get(request):
+            known.answer_deadline_ms = min(known.answer_deadline_ms, now)
+            self.ready_queue.append(request)
+
+    def configuration_changed(
+        self,
+        now: float,
+        request_classes: list[RequestClass],
+        tenants: list[Tenant],
+        capabilities: Capabilities,
+    ) -> None:
+        """Settings for what is taken from now on; a request keeps those that it was taken under."""
+        self.request_classes = request_classes
+        self.capabilities = capabilities
+        self.gate.configure_rate(self.clock.enter(now), total_rate(tenants))
+
+    def quota_share_changed(self, now: float, quota_share: QuotaShare) -> None:
+        """This front end's share of the fleet's quotas, until a time."""
+        self.clock.enter(now)
+        self.gate.quota_share = QuotaShare(quota_share.share, self.clock.to_local(quota_share.until_ms))
+
+    def executor_start_corrected(self, now: float, executor: int, started_ms: float) -> None:
+        """The same process of an executor started at another time than was listed before."""
+        self.clock.enter(now)
+        if known := self.executors.get(executor):
+            known.endpoint = known.endpoint._replace(started_ms=self._local_start_ms(started_ms))
+
+    def time_passed(self, now: float) -> None:
+        """The wake-up that the last WAKE asked for, or another one."""
+        self._in_process_pause(self.clock.enter(now))
+        self.next_wake_ms = math.inf
+
+    def _local_start_ms(self, started_ms: float) -> float:
+        return self.clock.to_local(started_ms) if started_ms else 0.0
+
+
+def total_rate(tenants: list[Tenant]) -> float:
+    """The tenants' rates together, in requests a ms."""
+    return sum(tenant.rate for tenant in tenants) / 1000.0
+
+
+def _request_times(now: float, remaining_ms: float, request_class: RequestClass) -> RequestTimes:
+    objective_at_ms = now + request_class.latency_objective_ms
+    return RequestTimes(
+        answer_deadline_ms=now + remaining_ms - min(ANSWER_MARGIN_MS, remaining_ms / 2),
+        latency_objective_at_ms=objective_at_ms,
+        waits_until_ms=max(objective_at_ms, now + PATIENCE_SHARE * remaining_ms) - LOOK_AGAIN_MS,
+    )
--- a/petrelway/scenarios/baselines.py
+++ b/petrelway/scenarios/baselines.py
@@ -13,22 +13,26 @@
 class RandomChoice(FrontEnd):
     """Any executor that the rules allow."""
 
-    def choose(self, t: Request, now: float) -> Executor | None:
-        fit = [e for e in self.ready if self._allowed(t, e, now)]
+    def choose(self, request: Request, now: float) -> Executor | None:
+        fit = [executor for executor in self.ready if self._allowed(request, executor, now)]
         return self.random_source.choice(fit) if fit else None
 
-    def _allowed(self, t: Request, e: Executor, now: float) -> bool:
-        if any(x.executor is e for x in t.in_flight.values()):
+    def _allowed(self, request: Request, executor: Executor, now: float) -> bool:
+        if any(attempt.executor is executor for attempt in request.in_flight.values()):
             return False
-        return self.gate.allows_send(t, e, len(self.ready), now)
+        return self.gate.allows_send(request, executor, len(self.ready), now)
 
 
 class LeastLoaded(RandomChoice):
     """The executor with the fewest own requests in flight that the rules allow."""
 
-    def choose(self, t: Request, now: float) -> Executor | None:
-        fit = [e for e in self.ready if self._allowed(t, e, now)]
-        return min(fit, key=lambda e: (len(e.in_flight), self.random_source.random())) if fit else None
+    def choose(self, request: Request, now: float) -> Executor | None:
+        fit = [executor for executor in self.ready if self._allowed(request, executor, now)]
+        return (
+            min(fit, key=lambda executor: (len(executor.in_flight), self.random_source.random()))
+            if fit
+            else None
+        )
 
 
 class PassThrough:
@@ -37,8 +41,8 @@
     def __init__(self, now: float, *_: object) -> None:
         self.executors: list[int] = []
         self.turn = 0
-        self.todo: deque[Action] = deque()
-        self.done = ReleasedIndices([], [], [])
+        self.actions: deque[Action] = deque()
+        self.freed = ReleasedIndices([], [], [])
 
     def executors_listed(self, now: float, endpoints: Iterable[Endpoint], complete: bool) -> None:
         told = {x.executor: x.stage is Stage.READY for x in endpoints}
@@ -59,11 +63,11 @@
         *_: object,
     ) -> None:
         if not self.executors:
-            self.todo.append(Action(ActionKind.REJECT, request))
-            self.done.requests.append(request)
+            self.actions.append(Action(ActionKind.REJECT, request))
+            self.freed.requests.append(request)
             return
         self.turn = (self.turn + 1) % len(self.executors)
-        self.todo.append(Action(ActionKind.SEND, request, self.executors[self.turn]))
+        self.actions.append(Action(ActionKind.SEND, request, self.executors[self.turn]))
 
     def attempt_ended(
         self,
@@ -76,8 +80,8 @@
         *_: object,
     ) -> None:
         if not finished:
-            self.todo.append(Action(ActionKind.FAIL, request))
-        self.done.requests.append(request)
+            self.actions.append(Action(ActionKind.FAIL, request))
+        self.freed.requests.append(request)
 
     def load_request_answered(self, *_: object) -> None:
         pass
@@ -91,11 +95,12 @@
         return -1
 
     def decide(self, now: float) -> Action | None:
-        return self.todo.popleft() if self.todo else None
+        return self.actions.popleft() if self.actions else None
 
     def released(self) -> ReleasedIndices:
-        done, self.done = self.done, ReleasedIndices([], [], [])
-        return done
+        freed = self.freed
+        self.freed = ReleasedIndices([], [], [])
+        return freed
 
 
 POLICIES = {
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -106,3 +106,12 @@
 
 def verbs(decisions) -> list[str]:
     return [d.kind.name for d in decisions]
+
+
+def ask(host, function=0, tenant=0):
+    """What the choice would be for a request, without sending it."""
+    t = host.fe.requests[host.take(function, tenant=tenant)]
+    chosen = host.fe.choose(t, host.now)
+    del host.fe.requests[t.index]
+    host.fe.ready_queue.clear()
+    return chosen
--- a/tests/test_forward_clock.py
+++ b/tests/test_monotonic_time.py
@@ -87,7 +87,7 @@
     assert "SEND" not in verbs(host.pull(500.0))
 
 
-def test_a_part_of_the_rations_is_not_kept_for_longer_by_a_step_back():
+def test_a_quota_share_is_not_kept_for_longer_by_a_step_back():
     host = Host(2, peers=4)
     host.fe.quota_share_changed(host.now, QuotaShare(0.5, host.now + 5_000.0))
     host.pull(4_500.0)
@@ -97,7 +97,7 @@
 
 
 def test_what_ends_within_a_turn_is_no_step_back():
-    """Danger: a turn's own reading, older by a moment, passed for a step, and a second was taken from all."""
+    """A turn's own reading, older by a moment, passed for a step, and a second was taken from all."""
     host = Host(2)
     request = host.take(remaining=1500.0)
     assert "SEND" in verbs(host.pull())
@@ -114,7 +114,7 @@
 
     def slowly(now):
         seen.append((now, rig.host.now()))
-        rig.clock.rightNow += 0.7  # a stall within the turn
+        rig.clock.rightNow += 0.7  # a pause within the turn
         return decide(now)
 
     rig.host.front_end.decide = slowly
--- /dev/null
+++ b/tests/test_routing_state.py
@@ -0,0 +1,97 @@
+"""What a front end remembers: restarts, bounded memory, sums kept as they change, decisions that raise."""
+
+import random
+
+from helpers import START, Host
+
+from petrelway.routing.types import ActionKind, Outcome, Stage, Warmth
+
+
+def test_restart_and_memory():
+    host = Host(2)
+    host.teach(0)
+    host.lists({0: Stage.READY, 1: Stage.READY}, started={0: START + 1.0})
+    assert host.fe.executors[0].resume == {}  # a new process knows nothing
+    host.teach(1, 7)
+    host.lists({1: Stage.READY})
+    host.pull(9000.0)
+    assert 7 not in host.fe.executors[1].resume  # idle past the configured least keep-alive
+    host.pull(70000.0)
+    free = host.fe.released()
+    assert free.executors == [0] and sorted(free.functions) == [0, 7] and len(free.requests) == 2
+    assert not host.fe.functions and not host.fe.requests and list(host.fe.executors) == [1]
+    host.end(1, Outcome.SUCCEEDED)  # late, unknown: nothing happens
+    host.fe.client_gone(host.now, 1)
+    host.fe.load_request_answered(host.now, 0, 0, Outcome.SUCCEEDED, 1, 1.0)
+    assert host.pull() == []
+
+
+def test_nothing_is_kept_for_ever():
+    """A front end that lives for weeks; found by memory that grew by 0.4 MB a minute."""
+    for quota in ((0.0, 0.0, 0.0), (5000.0, 4.0, 0.2)):
+        host = Host(3, ration=quota)
+        for i in range(600):
+            t = host.take(i % 50)
+            sent = [d for d in host.pull(100.0) if d.kind is ActionKind.SEND]
+            host.end(t, Outcome.SUCCEEDED, executor=sent[0].executor)
+        host.pull(1100.0)
+        assert len(host.fe.gate.taken) <= 60 and len(host.fe.timers) < 100 and not host.fe.ready_queue
+    host.pull(130_000.0)
+    assert host.fe.functions == {} and host.fe.requests == {} and len(host.fe.timers) < 5
+
+
+def test_a_decision_that_raises():
+    """It would raise again at the same request for ever, and all others would go unanswered."""
+    host = Host(2)
+    sick, well = host.take(0), host.take(1)
+    choose = host.fe.choose
+    host.fe.choose = lambda t, now: 1 / 0 if t.index == sick else choose(t, now)
+    assert host.fe.decision_failed() == -1
+    try:
+        host.pull()
+    except ZeroDivisionError:
+        assert host.fe.decision_failed() == sick
+    assert [d.request for d in host.pull()] == [well] and host.fe.decision_failed() == -1
+    assert host.fe.released().requests == [sick] and list(host.fe.requests) == [well]
+
+
+def check_sums(fe):
+    fleet, ready = fe.fleet, [e for e in fe.executors.values() if e.endpoint.stage is Stage.READY]
+    assert set(fleet.ready) == set(ready) and len(fleet.ready) == len(ready) and fe.ready is fleet.ready
+    assert fleet.saturated == sum(e.busy >= e.limit for e in ready)
+    assert fleet.load_requests == sum(len(e.load_requests) for e in ready) == sum(fleet.loading.values())
+    assert all(fleet.loading[i] == sum(i in e.load_requests for e in ready) > 0 for i in fleet.loading)
+    for f in fe.functions.values():
+        assert f.ranked(fleet) == sorted(ready, key=f.rank, reverse=True)
+
+
+def test_sums_and_ranks_are_kept_as_they_change():
+    """A sum that drifts closes the overflow for good, or never."""
+    for seed in range(12):
+        random_source = random.Random(seed)
+        host, out = Host(0, misses=random_source.random() < 0.5, seed=seed, started={}), {}
+        stages, started = {}, {}
+        for step in range(300):
+            if random_source.random() < 0.15:
+                some = {
+                    e: random_source.choice([Stage.READY, Stage.READY, Stage.DRAINING, Stage.GONE])
+                    for e in random_source.sample(range(12), random_source.choice([1, 1, 5]))
+                }
+                stages.update(some)
+                if random_source.random() < 0.3:
+                    started.update(dict.fromkeys(some, host.now))
+                host.lists(some, complete=random_source.random() < 0.1, started=started)
+            if random_source.random() < 0.6:
+                host.take(random_source.randrange(5), work=random_source.choice([0.0, 50.0, 400.0]))
+            for d in host.pull(random_source.choice([0.0, 5.0, 60.0, 3000.0])):
+                if d.kind is ActionKind.SEND:
+                    out.setdefault(d.request, []).append(len(out.get(d.request, ())))
+                elif d.kind is ActionKind.PREFETCH:
+                    end = random_source.choice(list(Outcome))
+                    host.fe.load_request_answered(host.now, d.executor, d.function, end, 1, 300.0)
+            for t in random_source.sample(sorted(out), min(2, len(out))):
+                for number in out.pop(t):
+                    took, warmth = random_source.choice([20.0, 2500.0]), random_source.choice(list(Warmth))
+                    host.end(t, random_source.choice(list(Outcome)), number=number, took=took, warmth=warmth)
+            if step % 5 == 0:
+                check_sums(host.fe)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,8 @@
 
 from helpers import START, Host, verbs
 
-from petrelway.routing.router import LOOK_AGAIN_MS, QUEUE_SHARE
+from petrelway.routing.inputs import LOOK_AGAIN_MS
+from petrelway.routing.router import QUEUE_SHARE
 from petrelway.routing.types import ActionKind, Idempotency, Outcome, QuotaShare, Scope, Stage
 
 H, S, ONE = Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT
@@ -100,7 +101,7 @@
             ), stage
 
 
-def test_cold_executor_not_pushed_over():
+def test_executor_in_slow_start_not_overloaded():
     # ms since the start, most sends in one span: 0.6 x 4 x share(age) x usual x span
     usual = 0.5 * 600.0 / 1000.0 / 2
     for age, share in ((0.0, 0.2), (7500.0, 0.6), (15000.0, 9.9)):
@@ -113,11 +114,11 @@
         assert sends
 
 
-def test_orders_rationed():
+def test_load_requests_within_their_quota():
     # free, share, orders expected of 12 functions that all miss
     for free, share, expected in ((2.0, 0.0, 2), (0.0, 0.5, 6), (4.0, 0.25, 7)):
         host = Host(12, misses=True, ration=(10000.0, free, share))
-        host.fe.prefetch_limit = 100.0  # the ration alone limits
+        host.fe.prefetch_limit = 100.0  # the quota alone limits
         found, load_requested = [], 0
         for function in range(12):
             found.append((host.take(function), host.pull()))
@@ -127,19 +128,19 @@
         assert load_requested == expected, (free, share, load_requested)
 
 
-def test_a_cold_executor_and_hundreds_of_front_ends():
-    """Danger: each front end's share is a fraction of one request, and all round it up at once."""
+def test_slow_start_and_hundreds_of_front_ends():
+    """Each front end's share is a fraction of one request, and all round it up at once."""
     sends = 0
     for seed in range(200):
         host = Host(2, started={0: 100_000.0, 1: 100_000.0}, peers=200, seed=seed)
         host.take()
         sends += sum(d.kind is ActionKind.SEND for d in host.pull(100.0))
-    fleet = 2 * 0.5 * 600.0 / 1000.0 / 2 * 1500.0  # of both, in one span, by the told rates
+    fleet = 2 * 0.5 * 600.0 / 1000.0 / 2 * 1500.0  # of both, in one span, by the configured rates
     assert 0 < sends <= 4.0 * 0.2 * fleet and sends < 100
 
 
 def test_what_was_out_together_binds():
-    """Danger: a stamped request waits for a load, which fails: it never ran, but binds what was beside it."""
+    """A keyed request waits for a load, which fails: it never ran, but binds what was beside it."""
     host = Host(8, Idempotency.KEYED, Scope.ZONE)
     for e in range(8):
         host.teach(e)
@@ -176,7 +177,7 @@
 
 
 def test_what_is_given_up_is_answered_at_once():
-    """Danger: held towards the outer limit, a reject would keep the client from asking again, and looks well on
+    """Held towards the deadline, a reject would keep the client from asking again, and looks well on
     the bench. The answer comes in the moment in which the module learns that nothing more can be done."""
     # request class, attempts allowed, how each of them ends, the answer, has a time to come back
     one, keyed, idempotent = Idempotency.NON_IDEMPOTENT, Idempotency.KEYED, Idempotency.IDEMPOTENT
@@ -201,11 +202,11 @@
         (answer,) = host.pull()  # the clock stands still
         assert answer.kind.name == expected, (idempotency, ends, answer)
         assert answer.ms == (min(500.0, host.fe.mean_ms) if expected == "REJECT" else 0.0), answer
-        assert host.pull(4000.0) == []  # and nothing follows up to the outer limit
+        assert host.pull(4000.0) == []  # and nothing follows up to the deadline
 
 
 def test_what_finds_no_place_is_answered_early():
-    """A wait for a place ends at a share of the quoted time (1 s), far from the outer limit (4 s)."""
+    """A wait for a place ends at a share of the latency objective (1 s), far from the deadline (4 s)."""
     # size, a client's repeat, when the answer comes at the latest
     for size, repeat, latest in (
         (100.0, False, QUEUE_SHARE * 1000.0 + LOOK_AGAIN_MS),
@@ -225,10 +226,10 @@
         assert host.pull(4000.0) == []
 
 
-def test_no_wait_goes_on_to_the_outer_limit():
-    """Danger: a load that hangs, or a list that stays empty: a request with nothing sent is rejected only when
+def test_no_wait_goes_on_to_the_deadline():
+    """A load that hangs, or a list that stays empty: a request with nothing sent is rejected only when
     its client's time is up."""
-    # the client's time, when the answer comes: half of it, but never before the quoted time (1,000 ms)
+    # the client's time, when the answer comes: half of it, but never before the latency objective (1,000 ms)
     for stay in ("empty list", "load"):
         for remaining, expected in ((4000.0, 2000.0), (1500.0, 1000.0), (600.0, 600.0)):
             host = Host(2)
@@ -247,8 +248,8 @@
             assert found[0].ms > 0.0
 
 
-def test_the_part_of_the_rations_that_is_told_holds_until_its_end():
-    # told share and end (none: untold), when it is asked, share that is used
+def test_a_quota_share_holds_until_its_end():
+    # configured share and end (none: no lease), when it is asked, share that is used
     table = [
         (None, 0.0, 0.25),
         ((0.5, 100.0), 99.0, 0.5),
@@ -262,8 +263,8 @@
         assert host.fe.gate.share(host.now + now) == share, (told, now)
 
 
-def cold_sends(share):
-    """How many requests a cold executor gets in a span from a front end that has no history."""
+def slow_start_sends(share):
+    """How many requests an executor in slow start gets in a span from a front end that has no history."""
     host = Host(1, rate=50.0, peers=10, started={0: START})
     if share is not None:
         host.fe.quota_share_changed(START, QuotaShare(share, 1e9))
@@ -272,9 +273,9 @@
     return verbs(host.pull()).count("SEND")
 
 
-def test_a_cold_executor_gets_more_by_a_larger_part_and_nothing_by_none():
-    own, more, all_of_it = cold_sends(None), cold_sends(0.5), cold_sends(1.0)
-    assert cold_sends(0.1) == own < more < all_of_it and cold_sends(0.0) == 0
+def test_slow_start_gets_more_by_a_larger_share_and_nothing_by_none():
+    own, more, all_of_it = slow_start_sends(None), slow_start_sends(0.5), slow_start_sends(1.0)
+    assert slow_start_sends(0.1) == own < more < all_of_it and slow_start_sends(0.0) == 0
 
 
 def waiting(**more):
@@ -286,7 +287,7 @@
 
 
 def test_what_waited_for_its_connection_is_asked_for_again():
-    """Danger: decided, it stood up to a second in a queue, and the rules were asked before that alone."""
+    """Decided, it stood up to a second in a queue, and the rules were asked before that alone."""
     host, t, _ = waiting()
     host.now += 300.0
     assert host.fe.may_still_send(host.now, t, 0) and host.fe.may_still_send(
@@ -316,8 +317,8 @@
         assert again.executor != executor and host.fe.may_still_send(host.now, t, 1) is may, late_ms
 
 
-def test_what_waited_for_a_cold_executor_counts_when_it_goes():
-    """Danger: sends spread by the decisions would arrive together when the connections come up."""
+def test_what_waited_in_slow_start_counts_when_it_goes():
+    """Sends spread by the decisions would arrive together when the connections come up."""
     host = Host(1, rate=12.0, started={0: START - 1000.0})
     sent = []
     while host.now < START + 4000.0:
@@ -331,8 +332,8 @@
     assert 1 <= len(went) < len(sent) and len(span) <= 2 + sum(at > host.now - 1500.0 for at in decided)
 
 
-def test_the_only_one_that_waited_for_a_cold_executor_goes():
-    """Danger: asked for again it would stand in its own way, or draw a new chance phase; few would go."""
+def test_the_only_one_that_waited_in_slow_start_goes():
+    """Asked for again it would stand in its own way, or draw a new random phase; few would go."""
     went = 0
     for seed in range(40):
         host = Host(1, rate=1.0, started={0: START - 1000.0}, seed=seed)
@@ -350,8 +351,8 @@
     assert went > 5
 
 
-def test_what_is_taken_back_earns_no_orders():
-    """Danger: hundreds asked and taken back at once; the ration counts the requests that it knows of."""
+def test_cancelled_requests_earn_no_load_requests():
+    """Hundreds asked and cancelled at once; the quota counts the requests that it knows of."""
     host = Host(3, misses=True, ration=(10_000.0, 4.0, 0.2))
     gate = host.fe.gate
     e = host.fe.executors[0]
