--- a/petrelway/console/explainer.py
+++ b/petrelway/console/explainer.py
@@ -14,71 +14,75 @@
 from ..routing.types import Stage
 
 
-def executor(fe: FrontEnd, e: Executor, now: float, name: str, zone: str) -> dict[str, Any]:
+def executor(front_end: FrontEnd, known: Executor, now: float, name: str, zone: str) -> dict[str, Any]:
     """What is known of one executor, and why it is avoided. Times in ms."""
-    usual = fe.service_time_baselines.get(e.endpoint.machine, 0.0)
-    pace = fe.service_time_factor(e, now)
+    usual = front_end.service_time_baselines.get(known.endpoint.machine, 0.0)
+    pace = front_end.service_time_factor(known, now)
     avoided = []
-    if e.endpoint.stage is not Stage.READY:
-        avoided.append(f"{e.endpoint.stage.value}: nothing new is sent")
-    if e.busy >= e.limit:
-        avoided.append(f"at its limit: {e.busy} own triggers in flight, {e.limit:.1f} allowed")
+    if known.endpoint.stage is not Stage.READY:
+        avoided.append(f"{known.endpoint.stage.value}: nothing new is sent")
+    if known.busy >= known.limit:
+        avoided.append(f"at its limit: {known.busy} own triggers in flight, {known.limit:.1f} allowed")
     if usual and pace > 2.0 * usual:
         word = "ailing" if pace >= OUTLIER_FACTOR * usual else "slow"
         avoided.append(f"{word}: {pace / usual:.1f} times its kind's usual pace")
-    for tenant, until in e.tenant_backoff.items():
+    for tenant, until in known.tenant_backoff.items():
         if until > now:
             avoided.append(f"refuses customer {tenant} for {(until - now) / 1e3:.1f} s more")
-    cold = fe.gate.is_warming_up(e, now)
+    cold = front_end.gate.is_warming_up(known, now)
     if cold:
-        avoided.append(f"cold: {len(e.slow_start_sends)} sends counted against rule 4")
+        avoided.append(f"cold: {len(known.slow_start_sends)} sends counted against rule 4")
     return {
         "executor": name,
         "hall": zone,
-        "stage": e.endpoint.stage.value,
+        "stage": known.endpoint.stage.value,
         "pace": round(pace, 3),
         "usual pace": round(usual, 3),
-        "backlog ms": round(fe.weighted_backlog(e, now), 1),
-        "in flight": len(e.in_flight),
-        "busy": e.busy,
-        "limit": round(e.limit, 1),
-        "resume": len(e.resume),
-        "orders": len(e.load_requests),
+        "backlog ms": round(front_end.weighted_backlog(known, now), 1),
+        "in flight": len(known.in_flight),
+        "busy": known.busy,
+        "limit": round(known.limit, 1),
+        "resume": len(known.resume),
+        "orders": len(known.load_requests),
         "cold": cold,
         "avoided": avoided,
     }
 
 
 def executors(
-    fe: FrontEnd, names: dict[int, str], zones: dict[int, str], now: float
+    front_end: FrontEnd, names: dict[int, str], zones: dict[int, str], now: float
 ) -> Iterator[dict[str, Any]]:
-    for index, e in list(fe.executors.items()):
-        yield executor(fe, e, now, names.get(index, str(index)), zones.get(e.endpoint.zone, ""))
+    for index, known in list(front_end.executors.items()):
+        yield executor(
+            front_end, known, now, names.get(index, str(index)), zones.get(known.endpoint.zone, "")
+        )
 
 
-def function(fe: FrontEnd, index: int, name: str, names: dict[int, str], now: float) -> dict[str, Any]:
+def function(front_end: FrontEnd, index: int, name: str, names: dict[int, str], now: float) -> dict[str, Any]:
     """Where a function is believed warm, and what is known of it."""
-    f = fe.functions[index]
+    entry = front_end.functions[index]
     warm = [
-        {"executor": names.get(i, str(i)), "seen s ago": round((now - e.resume.get(index, now)) / 1e3, 1)}
-        for i, e in f.skilled.items()
+        {"executor": names.get(i, str(i)), "seen s ago": round((now - known.resume.get(index, now)) / 1e3, 1)}
+        for i, known in entry.skilled.items()
+    ]
+    loading = [
+        names.get(i, str(i)) for i, known in front_end.executors.items() if index in known.load_requests
     ]
-    loading = [names.get(i, str(i)) for i, e in fe.executors.items() if index in e.load_requests]
     return {
         "function": name,
         "warm at": warm,
         "loading at": loading,
-        "waiting": len(f.waiting),
-        "lanes": f.slots,
-        "load ms": round(f.load_ms, 1),
-        "mean ms": round(f.mean_ms, 1),
-        "asked s ago": round((now - f.last_used_ms) / 1e3, 1),
+        "waiting": len(entry.waiting),
+        "lanes": entry.slots,
+        "load ms": round(entry.load_ms, 1),
+        "mean ms": round(entry.mean_ms, 1),
+        "asked s ago": round((now - entry.last_used_ms) / 1e3, 1),
     }
 
 
 def functions(
-    fe: FrontEnd, known: dict[int, str], names: dict[int, str], now: float
+    front_end: FrontEnd, known: dict[int, str], names: dict[int, str], now: float
 ) -> Iterator[dict[str, Any]]:
     for index, name in list(known.items()):
-        if index in fe.functions:
-            yield function(fe, index, name, names, now)
+        if index in front_end.functions:
+            yield function(front_end, index, name, names, now)
--- a/petrelway/routing/hash_ring.py
+++ b/petrelway/routing/hash_ring.py
@@ -71,7 +71,8 @@
 
     def arc(self, begin: int, width: int) -> list[Member]:
         """The members from a point on, round the ring, short of the point that is `width` further."""
-        first, end = self.index_after(begin), begin + width
+        first = self.index_after(begin)
+        end = begin + width
         if end <= WHOLE_RING:
             return self.members[first : self.index_after(end)]
         return self.members[first:] + self.members[: self.index_after(end - WHOLE_RING)]
@@ -116,7 +117,7 @@
 
 class RingWindow(Generic[Member]):
     """All members of a ring in an order that begins with a window: the members of the arc that follows a
-    point, highest rank first; then those of the next arc by rank, and so on round the ring. Holds the window,
+    point, highest rank first; then those of the next arc by rank, and so on round the ring. Keeps the window,
     and more only where `first` asked for it. Follows the changes of one ring, which is given at each call."""
 
     __slots__ = ("_arcs", "_rank", "_tail", "_tail_arcs", "_version", "_window")
@@ -168,24 +169,25 @@
         changed = ring.changed_since(self._version)
         if changed is None:
             return False
-        width, point = WHOLE_RING // self._arcs, self._rank.point
+        width = WHOLE_RING // self._arcs
+        point = self._rank.point
         inside = [member for member in changed if (member.salt - point) & HASH_MASK < width]
         if REBUILD_SHARE * len(inside) > len(self._window):
             return False
         for member in inside:
-            self._set_held(member, member in ring)
+            self._set_member(member, member in ring)
         return True
 
-    def _set_held(self, member: Member, held: bool) -> None:
+    def _set_member(self, member: Member, present: bool) -> None:
         """Put a member at its place in the window or take it out; nothing if that is so already."""
         window = self._window
         place = bisect_left(window, -self._rank(member), key=lambda other: -self._rank(other))
         while place < len(window) and self._twin_precedes(window[place], member):
             place += 1
         there = place < len(window) and window[place] is member
-        if held and not there:
+        if present and not there:
             window.insert(place, member)
-        elif there and not held:
+        elif there and not present:
             del window[place]
 
     def _twin_precedes(self, other: Member, member: Member) -> bool:
--- a/petrelway/routing/monotonic_time.py
+++ b/petrelway/routing/monotonic_time.py
@@ -33,7 +33,8 @@
         """The present, from the host's clock."""
         at = now + self._ahead_ms
         if at < self._latest_ms - STEP_MS:
-            at, before = self._latest_ms + self._gap_ms, at
+            before = at
+            at = self._latest_ms + self._gap_ms
             self._ahead_ms += at - before
         self._latest_ms = max(at, self._latest_ms)
         return self._latest_ms
