--- a/benchmarks/capacity_members_emulated.py
+++ b/benchmarks/capacity_members_emulated.py
@@ -22,7 +22,7 @@
 
 from petrelway.capacity.slopes import Evidence, Slope
 from petrelway.emulator.settled_membership import CountedSea, introduced_sea
-from petrelway.membership.messages import State
+from petrelway.membership.messages import MemberState
 
 SIZES = (125, 250, 500, 1000)
 QUICK_SIZES = (16, 32, 64, 128)
@@ -58,7 +58,7 @@
         if passed_s > DETECTION_BOUND_S:
             return False
         if "rack_detected_s" not in found:
-            if min(len(members.by[State.FAILED]) for members in staying) >= len(rack):
+            if min(len(members.by_state[MemberState.DEAD]) for members in staying) >= len(rack):
                 found["rack_detected_s"] = passed_s
         if "rack_bytes" not in found and passed_s >= RACK_WINDOW_S:
             living_s = len(staying) * passed_s
@@ -74,7 +74,7 @@
     began_s = sea.sim.now_s
     sea.watched = rack[0]
     joiner = sea.start(rack[0]).members
-    while len(joiner.by[State.ALIVE]) < living or joiner.by[State.UNHEARD]:
+    while len(joiner.by_state[MemberState.ALIVE]) < living or joiner.by_state[MemberState.UNKNOWN]:
         if sea.sim.now_s > began_s + JOIN_BOUND_S:
             return
         sea.sim.run(sea.sim.now_s + POLL_S)
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -28,8 +28,8 @@
 from petrelway.invariants import membership_checker as fleet
 from petrelway.invariants.checker import figures, judge
 from petrelway.invariants.state_explorer import explore
-from petrelway.membership.messages import State
-from petrelway.membership.quota_lease import WAIT_MS
+from petrelway.membership.messages import MemberState
+from petrelway.membership.quota_lease import STARTUP_WAIT_MS
 from petrelway.settings.reading import evaluate
 
 TORN = Path(__file__).parent.parent / "examples" / "torn-day.jsonnet"
@@ -58,7 +58,7 @@
     return sea.sim.now_s - begin
 
 
-def held(sea: Sea, number: int, state: State) -> list[bool]:
+def held(sea: Sea, number: int, state: MemberState) -> list[bool]:
     id = sea.ids[number]
     return [p.members.others[id].state is state for n, p in sea.peers.items() if n != number]
 
@@ -75,7 +75,7 @@
     victim, vanished = 1, 2
     sea.kill(victim)
     found["killed: s until all hold it failed"] = [
-        until(sea, lambda: all(held(sea, 1, State.FAILED)), 0.1, 60.0)
+        until(sea, lambda: all(held(sea, 1, MemberState.DEAD)), 0.1, 60.0)
     ]
     every = frozenset(range(size))
     # nothing passes any more, and nothing refuses
@@ -85,7 +85,7 @@
     id = sea.ids[vanished]
     found["vanished: s until all others hold it failed"] = [
         until(
-            sea, lambda: all(sea.peers[n].members.others[id].state is State.FAILED for n in others), 0.1, 90.0
+            sea, lambda: all(sea.peers[n].members.others[id].state is MemberState.DEAD for n in others), 0.1, 90.0
         )
     ]
     sea.faults.clear(sea.now())
@@ -93,7 +93,7 @@
     sea.faults.add(NetworkFault("cut", side, every - side, sea.now(), sea.now() + 20_000.0))
     sea.sim.run(sea.sim.now_s + 20.0)
     alive = until(
-        sea, lambda: all(len(p.members.by[State.ALIVE]) == size - 2 for p in sea.peers.values()), 0.25, 120.0
+        sea, lambda: all(len(p.members.by_state[MemberState.ALIVE]) == size - 2 for p in sea.peers.values()), 0.25, 120.0
     )
     found["cut of 20 s: s until all that live are alive to all"] = [alive]
     found["cut of 20 s: s until all views agree to the last start"] = [
@@ -218,7 +218,7 @@
 
 def parts(seeds: int, *days: str) -> None:
     """Of all four days, or of those named; with `only` before them without the baselines, for the rules."""
-    assert WAIT_MS < 10_000.0
+    assert STARTUP_WAIT_MS < 10_000.0
     modes = (BY_PARTS,) if days[:1] == ("only",) else (TOLD, BY_PARTS, TRUE)
     days = days[days[:1] == ("only",) :] or ("warm", "half cold", "cold before it", "cold after it")
     jobs = [(seed, what, mode) for what in days for seed in range(seeds) for mode in modes]
--- a/petrelway/emulator/membership_simulation.py
+++ b/petrelway/emulator/membership_simulation.py
@@ -11,9 +11,9 @@
 
 from ..fakes.fault_schedule import FaultSchedule
 from ..fakes.in_memory_network import Process, World
-from ..membership.messages import Word, digest, write
-from ..membership.quota_lease import Held, Parts
-from ..membership.swim import Change, Decision, Members, Verb, Whole
+from ..membership.messages import Message, digest, encode
+from ..membership.quota_lease import QuotaLease, QuotaLeaseHolder
+from ..membership.swim import Action, ActionKind, MemberEvent, MembershipStateMachine, ViewStatus
 from ..routing.types import Part
 
 DIAL_MS = 0.5  # there and back on an idle network
@@ -26,13 +26,13 @@
         self.sea, self.number, self.process = sea, number, process
         now = sea.now()
         me, others = sea.ids[number], [id for i, id in enumerate(sea.ids) if i != number]
-        self.members = Members(
+        self.members = MembershipStateMachine(
             now, me, token, sea.fleet, others, random.Random(f"{sea.seed}/{number}/{token}")
         )
-        self.parts = Parts(now, len(sea.ids))
-        self.said: deque[Change] = deque(maxlen=10_000)
-        self.whole: Whole | None = None
-        self.held: Held | None = None
+        self.parts = QuotaLeaseHolder(now, len(sea.ids))
+        self.said: deque[MemberEvent] = deque(maxlen=10_000)
+        self.whole: ViewStatus | None = None
+        self.held: QuotaLease | None = None
         self.wake = None
         self.told: Callable[[Part], None] = lambda part: None
         self.pull()
@@ -41,7 +41,7 @@
         if self.sea.record is not None:
             self.sea.record.note(kind, _file=f"fleet-{self.number}-{self.members.start.token}", **what)
 
-    def heard(self, sender: int, word: Word) -> None:
+    def heard(self, sender: int, word: Message) -> None:
         self.members.heard(self.sea.now(), sender, word)
         self.pull()
 
@@ -52,7 +52,7 @@
     def pull(self) -> None:
         now = self.sea.now()
         while (d := self.members.decide(now)) is not None:
-            if d.verb is Verb.WAKE:
+            if d.verb is ActionKind.WAKE:
                 if self.wake is not None and self.wake.active():
                     self.wake.cancel()
                 self.wake = self.process.callLater((d.ms - now) / 1e3, self._woken)
@@ -110,17 +110,17 @@
     def kill(self, number: int) -> None:
         self.peers.pop(number).process.kill()
 
-    def carry_out(self, peer: Peer, d: Decision) -> None:
+    def carry_out(self, peer: Peer, d: Action) -> None:
         to = self.numbers[d.member]
-        if d.verb is Verb.TRY:
+        if d.verb is ActionKind.CHECK_PORT:
             self._try(peer, to)
             return
         self.counts["datagrams"] += 1
-        self.counts["bytes"] += len(write(d.word))
+        self.counts["bytes"] += len(encode(d.word))
         for late_ms in self.faults.carry(self.now(), peer.number, to):
             self.sim.later((self.way_ms + late_ms) / 1e3, self._arrive, peer.number, to, d.word)
 
-    def _arrive(self, sender: int, to: int, word: Word) -> None:
+    def _arrive(self, sender: int, to: int, word: Message) -> None:
         if (peer := self.peers.get(to)) is not None:
             peer.process.run(peer.heard, self.ids[sender], word)
 
--- a/petrelway/emulator/quota_model.py
+++ b/petrelway/emulator/quota_model.py
@@ -16,9 +16,9 @@
 
 from ..membership import quota_lease as parts
 from ..membership import swim as members
-from ..membership.messages import Kind, Start, State, Word
-from ..membership.quota_lease import Parts
-from ..membership.swim import Members
+from ..membership.messages import Incarnation, MemberState, Message, MessageKind
+from ..membership.quota_lease import QuotaLeaseHolder
+from ..membership.swim import MembershipStateMachine
 from ..routing.router import Gate
 from ..routing.types import ColdRule, LoadRation, Part
 
@@ -62,7 +62,7 @@
 
 def beginning(kills: int = 2, starts: int = 2, stops: int = 1, words: int = 1) -> System:
     """All three have been there for long."""
-    one = One(RUNS, parts.WAIT_MS, 1 / SIZE, math.inf, (None,) * SIZE)
+    one = One(RUNS, parts.STARTUP_WAIT_MS, 1 / SIZE, math.inf, (None,) * SIZE)
     return System((one,) * SIZE, frozenset(), kills, starts, stops, words)
 
 
@@ -80,17 +80,17 @@
     return gate.share(NOW)
 
 
-def _held(number: int, one: One) -> tuple[Members, Parts]:
+def _held(number: int, one: One) -> tuple[MembershipStateMachine, QuotaLeaseHolder]:
     """The program's own state behind one process."""
     others = [i + 1 for i in range(SIZE) if i != number]
-    m = Members(NOW, number + 1, 1, 1, others, random.Random(0))
+    m = MembershipStateMachine(NOW, number + 1, 1, 1, others, random.Random(0))
     m.last_heard_ms = NOW
     for i, age in enumerate(one.proofs):
         if i != number:
             x = m.others[i + 1]
-            m._hold(x, Start(1, 1), State.ALIVE if age is None else State.FAILED, NOW, "")
+            m._hold(x, Incarnation(1, 1), MemberState.ALIVE if age is None else MemberState.DEAD, NOW, "")
             x.refused_ms = -math.inf if age is None else NOW - age
-    return m, Parts(NOW - one.age, SIZE)
+    return m, QuotaLeaseHolder(NOW - one.age, SIZE)
 
 
 @cache
@@ -110,7 +110,7 @@
 @cache
 def _hears(number: int, one: One, whom: int) -> One:
     m, p = _held(number, one)
-    m.heard(NOW, whom + 1, Word(Kind.HERE, 1, whom + 1, Start(2, 1), m.peers, 0, 0, 0))
+    m.heard(NOW, whom + 1, Message(MessageKind.ACK, 1, whom + 1, Incarnation(2, 1), m.peers, 0, 0, 0))
     return _told(number, one, m, p)
 
 
@@ -120,7 +120,7 @@
         remembered.cache_clear()
 
 
-def _told(number: int, one: One, m: Members, p: Parts) -> One:
+def _told(number: int, one: One, m: MembershipStateMachine, p: QuotaLeaseHolder) -> One:
     part = p.held(m, NOW).part
     proofs = tuple(
         None if i == number or not members.proved(m.others[i + 1], NOW) else NOW - m.others[i + 1].refused_ms
@@ -175,7 +175,7 @@
         if one.doing != DEAD:
             step = STEP_MS * RATES[i]
             proofs = tuple(None if a is None or a + step > members.PROOF_MS else a + step for a in one.proofs)
-            one = one._replace(age=min(one.age + step, parts.WAIT_MS), left=max(0.0, one.left - step))
+            one = one._replace(age=min(one.age + step, parts.STARTUP_WAIT_MS), left=max(0.0, one.left - step))
             one = one._replace(proofs=proofs)
             if one.doing == RUNS:
                 one = _turn(i, one)
--- a/petrelway/emulator/settled_membership.py
+++ b/petrelway/emulator/settled_membership.py
@@ -11,8 +11,8 @@
 from ..fakes.fault_schedule import FaultSchedule
 from ..fakes.hollow_members import introductions, settle_view
 from ..fakes.in_memory_network import World
-from ..membership.messages import write
-from ..membership.swim import Decision, Verb
+from ..membership.messages import encode
+from ..membership.swim import Action, ActionKind
 from .membership_simulation import Peer, Sea
 
 
@@ -22,9 +22,9 @@
     watched = -1  # the member's number
     watched_bytes = 0
 
-    def carry_out(self, peer: Peer, d: Decision) -> None:
-        if d.verb is Verb.TELL and self.watched in (peer.number, self.numbers[d.member]):
-            self.watched_bytes += len(write(d.word))
+    def carry_out(self, peer: Peer, d: Action) -> None:
+        if d.verb is ActionKind.SEND and self.watched in (peer.number, self.numbers[d.member]):
+            self.watched_bytes += len(encode(d.word))
         super().carry_out(peer, d)
 
     def settle(self) -> None:
--- a/petrelway/fakes/hollow_members.py
+++ b/petrelway/fakes/hollow_members.py
@@ -14,10 +14,18 @@
 import msgspec
 from twisted.internet import defer, interfaces, protocol, task
 
-from ..membership.messages import NEWS_MOST, Kind, News, Start, State, digest, write
-from ..membership.messages import Word as Message
-from ..membership.service import FleetService, Listed
-from ..membership.swim import Members
+from ..membership.messages import (
+    MAX_UPDATES,
+    Incarnation,
+    MemberState,
+    MemberUpdate,
+    Message,
+    MessageKind,
+    digest,
+    encode,
+)
+from ..membership.service import MembershipService, PeerAddress
+from ..membership.swim import MembershipStateMachine
 from ..routing.types import Part
 
 MEMBERS_BOUND = 2000  # hollow members in one process: two descriptors each, of the usual few thousand
@@ -47,13 +55,13 @@
         if not 1 <= self.size <= FLEET_BOUND:
             raise HollowMembersError(f"a fleet of {self.size} members; allowed: 1 to {FLEET_BOUND}")
 
-    def listed(self, number: int) -> Listed:
+    def listed(self, number: int) -> PeerAddress:
         """The member's line of the list of peers; its address is its name, as under `petrelway node`."""
         place = number + 1  # the first address of a network may be its broadcast
         address = f"127.{self.network}.{place >> 8}.{place & 255}"
-        return Listed(f"{address}:{self.port}", address, self.port)
+        return PeerAddress(f"{address}:{self.port}", address, self.port)
 
-    def peers(self) -> list[Listed]:
+    def peers(self) -> list[PeerAddress]:
         """The list of peers, the same for each member."""
         return [self.listed(number) for number in range(self.size)]
 
@@ -147,13 +155,13 @@
     number: int,
     ports: bool,
     process: int = 0,
-    peers: list[Listed] | None = None,
-) -> FleetService:
+    peers: list[PeerAddress] | None = None,
+) -> MembershipService:
     """The shell of one member, not yet started. With `ports` it listens on its port and tries those of
     others, as under `petrelway serve`; without, datagrams alone, as under `petrelway node`. `peers` saves the
     list's memory where many members share a process."""
     me = plan.listed(number)
-    return FleetService(
+    return MembershipService(
         reactor,
         me,
         FLEET_NAME,
@@ -166,13 +174,13 @@
 
 
 def introductions(
-    ids: list[int], starts: list[Start], sender: int, fleet: int, peers_digest: int
+    ids: list[int], starts: list[Incarnation], sender: int, fleet: int, peers_digest: int
 ) -> list[Message]:
     """The messages by which member `sender` tells that everybody is alive; `ids` and `starts` by number."""
-    news = [News(id, start, State.ALIVE) for id, start in zip(ids, starts)]
+    news = [MemberUpdate(id, start, MemberState.ALIVE) for id, start in zip(ids, starts)]
     return [
         Message(
-            Kind.HERE,
+            MessageKind.ACK,
             fleet,
             ids[sender],
             starts[sender],
@@ -180,22 +188,22 @@
             view=0,
             number=0,
             about=0,
-            news=tuple(news[first : first + NEWS_MOST]),
+            news=tuple(news[first : first + MAX_UPDATES]),
         )
-        for first in range(0, len(news), NEWS_MOST)
+        for first in range(0, len(news), MAX_UPDATES)
     ]
 
 
 def introduction_datagrams(plan: FleetPlan, sender: int) -> list[bytes]:
     """The same for the first processes of a fleet on loopback."""
     ids = [digest(plan.listed(number).name) for number in range(plan.size)]
-    starts = [Start(FIRST_INCARNATION, plan.token(number)) for number in range(plan.size)]
+    starts = [Incarnation(FIRST_INCARNATION, plan.token(number)) for number in range(plan.size)]
     peers_digest = digest(*map(str, sorted(ids)))
     messages = introductions(ids, starts, sender, digest(FLEET_NAME), peers_digest)
-    return [write(message) for message in messages]
+    return [encode(message) for message in messages]
 
 
-def settle_view(members: Members) -> None:
+def settle_view(members: MembershipStateMachine) -> None:
     """As if all news had been told, and everybody had been heard since: a fleet that starts as a whole comes
     there by itself after about a second a member."""
     members.told.clear()
@@ -296,11 +304,11 @@
             traffic=self.traffic,
             pauses=sum(view.stalls for view in views),
             lag_ms=lag_s * 1e3,
-            alive_least=min(len(view.by[State.ALIVE]) for view in views),
-            failed_least=min(len(view.by[State.FAILED]) for view in views),
-            failed_most=max(len(view.by[State.FAILED]) for view in views),
-            suspected_most=max(len(view.by[State.SUSPECTED]) for view in views),
-            unheard_most=max(len(view.by[State.UNHEARD]) for view in views),
+            alive_least=min(len(view.by_state[MemberState.ALIVE]) for view in views),
+            failed_least=min(len(view.by_state[MemberState.DEAD]) for view in views),
+            failed_most=max(len(view.by_state[MemberState.DEAD]) for view in views),
+            suspected_most=max(len(view.by_state[MemberState.SUSPECT]) for view in views),
+            unheard_most=max(len(view.by_state[MemberState.UNKNOWN]) for view in views),
             untold_most=max(len(view.told) for view in views),
             views=len({view.view for view in views}),
             view=views[0].view,
--- a/petrelway/fakes/hollow_memory.py
+++ b/petrelway/fakes/hollow_memory.py
@@ -8,8 +8,8 @@
 
 from twisted.internet import protocol, task
 
-from ..membership.messages import State
-from ..membership.service import FleetService
+from ..membership.messages import MemberState
+from ..membership.service import MembershipService
 from .hollow_members import FleetPlan, hollow_member, introduction_datagrams
 
 ANY_NETWORK, ANY_PORT = 77, 20_000  # nothing is bound there
@@ -33,14 +33,14 @@
         pass
 
 
-def informed_member(plan: FleetPlan, datagrams: list[bytes]) -> FleetService:
+def informed_member(plan: FleetPlan, datagrams: list[bytes]) -> MembershipService:
     """Member 0, which has heard by these datagrams of member 1 that everybody is alive."""
     member = hollow_member(SocketlessReactor(), plan, 0, ports=True)
     member.startService()
     sender = plan.listed(1)
     for datagram in datagrams:
         member.datagrams.datagramReceived(datagram, (sender.address, sender.port))
-    if len(member.members.by[State.ALIVE]) != plan.size - 1:
+    if len(member.members.by_state[MemberState.ALIVE]) != plan.size - 1:
         raise AssertionError("the datagrams did not tell of everybody")
     return member
 
--- a/petrelway/gateway/service.py
+++ b/petrelway/gateway/service.py
@@ -10,7 +10,7 @@
 from twisted.application import service
 from twisted.internet import defer, interfaces
 
-from ..membership.service import FleetService, Listed, new_token
+from ..membership.service import MembershipService, PeerAddress, new_incarnation_token
 from ..routing.router import FrontEnd
 from ..routing.types import ColdRule, Keeping, LoadRation, Place
 from ..sockets.listening import listen_tcp
@@ -140,12 +140,12 @@
     def _join(self, wanted, name: str) -> None:
         """Before anything else is listened on or used: whoever finds the port refusing counts on it."""
         host = self.host
-        self.fleet = FleetService(
+        self.fleet = MembershipService(
             self.reactor,
-            Listed(name, wanted.address, wanted.port),
+            PeerAddress(name, wanted.address, wanted.port),
             wanted.fleet,
-            [Listed(m.name, m.address, m.port) for m in wanted.members],
-            new_token(),
+            [PeerAddress(m.name, m.address, m.port) for m in wanted.members],
+            new_incarnation_token(),
             random.Random(f"{self.found['front_end'].seed}/{name}/members"),
             self.log,
             lambda part: host.front_end.part_told(host.now(), part),
--- a/petrelway/membership/messages.py
+++ b/petrelway/membership/messages.py
@@ -14,36 +14,46 @@
 
 DATAGRAM_BOUND = 256  # bytes; the platform voids a run for more
 VERSION = 1
-MARK = b"pw"
-HEAD = struct.Struct(">2sBBIIIIIIIIB")
-NEWS = struct.Struct(">IIIB")
-CHECK = struct.Struct(">I")
-TERMS = struct.Struct(">BBI")
-TERMS_NAME = ord("t")
-NEWS_MOST = (DATAGRAM_BOUND - HEAD.size - TERMS.size - CHECK.size) // NEWS.size
+MAGIC = b"pw"
+HEADER = struct.Struct(">2sBBIIIIIIIIB")
+MEMBER_UPDATE = struct.Struct(">IIIB")
+CHECKSUM = struct.Struct(">I")
+POLICY_VERSION_SECTION = struct.Struct(">BBI")
+POLICY_VERSION_SECTION_TYPE = ord("t")
+MAX_UPDATES = (DATAGRAM_BOUND - HEADER.size - POLICY_VERSION_SECTION.size - CHECKSUM.size) // MEMBER_UPDATE.size
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """What a word asks or answers."""
 
-    ASK = 1  # are you there? answered with HERE under the same number
-    HERE = 2
-    ASK_FOR_ME = 3  # ask the member `about`, and pass its answer on
-    HERE_TOO = 4  # `about` has answered
-    LEAVING = 5  # the sender leaves, and uses nothing of the fleet's any more
+    PING = 1  # are you there? answered with HERE under the same number
+    ACK = 2
+    PING_REQUEST = 3  # ask the member `about`, and pass its answer on
+    INDIRECT_ACK = 4  # `about` has answered
+    LEAVE = 5  # the sender leaves, and uses nothing of the fleet's any more
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """What a member is held for. In the order in which one outdoes another of the same start."""
 
-    UNHEARD = 0  # listed; nobody has heard it yet
+    UNKNOWN = 0  # listed; nobody has heard it yet
     ALIVE = 1
-    SUSPECTED = 2
-    FAILED = 3
+    SUSPECT = 2
+    DEAD = 3
     LEFT = 4
 
 
-class Start(NamedTuple):
+# What operators, the members page, records and policy reports read: these words are an outside form.
+MEMBER_STATE_LABELS = {
+    MemberState.UNKNOWN: "unheard",
+    MemberState.ALIVE: "alive",
+    MemberState.SUSPECT: "suspected",
+    MemberState.DEAD: "failed",
+    MemberState.LEFT: "left",
+}
+
+
+class Incarnation(NamedTuple):
     """Which process of a member, and how often it has had to say that it is there; the later one is
     greater."""
 
@@ -51,26 +61,26 @@
     token: int
 
 
-class News(NamedTuple):
+class MemberUpdate(NamedTuple):
     """What the sender holds a member for."""
 
     member: int
-    start: Start
-    state: State
+    start: Incarnation
+    state: MemberState
 
 
-class Word(NamedTuple):
+class Message(NamedTuple):
     """One datagram. `peers` is a digest of the sender's list of peers, `view` one of its view."""
 
-    kind: Kind
+    kind: MessageKind
     fleet: int
     sender: int
-    start: Start
+    start: Incarnation
     peers: int
     view: int
     number: int
     about: int
-    news: tuple[News, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()
     version: int = 0  # of the terms that the sender runs under; a section, left out where it is 0
 
 
@@ -87,15 +97,15 @@
     return int.from_bytes(blake2b("\n".join(names).encode(), digest_size=4).digest(), "big")
 
 
-def write(word: Word) -> bytes:
+def encode(word: Message) -> bytes:
     """
     >>> w = Word(Kind.ASK, 1, 2, Start(3, 4), 5, 6, 7, 0, (News(8, Start(9, 10), State.FAILED),))
-    >>> read(write(w)) == w, len(write(w)) <= DATAGRAM_BOUND
+    >>> decode(encode(w)) == w, len(encode(w)) <= DATAGRAM_BOUND
     (True, True)
     """
     parts = [
-        HEAD.pack(
-            MARK,
+        HEADER.pack(
+            MAGIC,
             VERSION,
             word.kind,
             word.fleet,
@@ -108,37 +118,37 @@
             len(word.news),
         )
     ]
-    parts += [NEWS.pack(n.member, *n.start, n.state) for n in word.news[:NEWS_MOST]]
+    parts += [MEMBER_UPDATE.pack(n.member, *n.start, n.state) for n in word.news[:MAX_UPDATES]]
     if word.version:
-        parts.append(TERMS.pack(TERMS_NAME, 4, word.version))
+        parts.append(POLICY_VERSION_SECTION.pack(POLICY_VERSION_SECTION_TYPE, 4, word.version))
     data = b"".join(parts)
-    return data + CHECK.pack(zlib.crc32(data))
+    return data + CHECKSUM.pack(zlib.crc32(data))
 
 
-def read(data: bytes) -> Word:
+def decode(data: bytes) -> Message:
     """Raises MessageError."""
-    if not HEAD.size + CHECK.size <= len(data) <= DATAGRAM_BOUND:
+    if not HEADER.size + CHECKSUM.size <= len(data) <= DATAGRAM_BOUND:
         raise MessageError("length")
-    body = data[: -CHECK.size]
-    if data[:2] != MARK:
+    body = data[: -CHECKSUM.size]
+    if data[:2] != MAGIC:
         raise MessageError("mark")
-    if CHECK.unpack(data[-CHECK.size :])[0] != zlib.crc32(body):
+    if CHECKSUM.unpack(data[-CHECKSUM.size :])[0] != zlib.crc32(body):
         raise MessageError("check")
-    _, version, kind, fleet, sender, incarnation, token, peers, view, number, about, count = HEAD.unpack_from(
+    _, version, kind, fleet, sender, incarnation, token, peers, view, number, about, count = HEADER.unpack_from(
         body
     )
     if version != VERSION:
         raise MessageError("version")
-    if HEAD.size + count * NEWS.size > len(body):
+    if HEADER.size + count * MEMBER_UPDATE.size > len(body):
         raise MessageError("news cut off")
     try:
         news = tuple(
-            News(member, Start(i, t), State(state))
-            for member, i, t, state in NEWS.iter_unpack(body[HEAD.size : HEAD.size + count * NEWS.size])
+            MemberUpdate(member, Incarnation(i, t), MemberState(state))
+            for member, i, t, state in MEMBER_UPDATE.iter_unpack(body[HEADER.size : HEADER.size + count * MEMBER_UPDATE.size])
         )
-        version = _sections(body[HEAD.size + count * NEWS.size :])
-        start = Start(incarnation, token)
-        return Word(Kind(kind), fleet, sender, start, peers, view, number, about, news, version)
+        version = _sections(body[HEADER.size + count * MEMBER_UPDATE.size :])
+        start = Incarnation(incarnation, token)
+        return Message(MessageKind(kind), fleet, sender, start, peers, view, number, about, news, version)
     except ValueError as error:
         raise MessageError("unknown kind or state") from error
 
@@ -150,7 +160,7 @@
     while at < len(data):
         if at + 2 > len(data) or at + 2 + data[at + 1] > len(data):
             raise MessageError("section cut off")
-        if data[at] == TERMS_NAME and data[at + 1] == 4:
+        if data[at] == POLICY_VERSION_SECTION_TYPE and data[at + 1] == 4:
             version = int.from_bytes(data[at + 2 : at + 6], "big")
         at += 2 + data[at + 1]
     return version
--- a/petrelway/membership/quota_lease.py
+++ b/petrelway/membership/quota_lease.py
@@ -18,13 +18,13 @@
 from typing import NamedTuple
 
 from ..routing.types import Part
-from .swim import PROOF_MS, Members, Whole
+from .swim import PROOF_MS, MembershipStateMachine, ViewStatus
 
 DRIFT = 0.01  # two clocks' spans differ by less than this share of them; quartz differs by a ten-thousandth
-WAIT_MS = PROOF_MS * (1.0 + 2.0 * DRIFT) + 500.0  # of a process that has just started
+STARTUP_WAIT_MS = PROOF_MS * (1.0 + 2.0 * DRIFT) + 500.0  # of a process that has just started
 
 
-class Held(NamedTuple):
+class QuotaLease(NamedTuple):
     """The part, and for operators why it is so and for how many dead ones it stands."""
 
     part: Part
@@ -32,24 +32,24 @@
     dead: int = 0
 
 
-class Parts:
+class QuotaLeaseHolder:
     """One process's part."""
 
     def __init__(self, now: float, size: int) -> None:
         """`size`: how many members are listed, this one included."""
         self.began_ms, self.size = now, size
 
-    def held(self, members: Members, now: float) -> Held:
+    def held(self, members: MembershipStateMachine, now: float) -> QuotaLease:
         """The part now."""
         own = 1.0 / self.size
         if members.yielded:
-            return Held(Part(0.0, math.inf), "another process has this name")
-        if now < self.began_ms + WAIT_MS:
-            return Held(Part(0.0, self.began_ms + WAIT_MS), "just started: others may stand for this name")
+            return QuotaLease(Part(0.0, math.inf), "another process has this name")
+        if now < self.began_ms + STARTUP_WAIT_MS:
+            return QuotaLease(Part(0.0, self.began_ms + STARTUP_WAIT_MS), "just started: others may stand for this name")
         whole = members.whole(now)
-        if whole is not Whole.WHOLE:
-            return Held(Part(own, math.inf), f"own share: {whole.value}")
+        if whole is not ViewStatus.COMPLETE:
+            return QuotaLease(Part(own, math.inf), f"own share: {whole.value}")
         dead = [m.refused_ms + PROOF_MS for m in members.proved(now)]
         if not dead:
-            return Held(Part(own, math.inf), "own share")
-        return Held(Part(1.0 / (self.size - len(dead)), min(dead)), "stands for dead ones too", len(dead))
+            return QuotaLease(Part(own, math.inf), "own share")
+        return QuotaLease(Part(1.0 / (self.size - len(dead)), min(dead)), "stands for dead ones too", len(dead))
--- a/petrelway/membership/service.py
+++ b/petrelway/membership/service.py
@@ -19,22 +19,22 @@
 from ..routing.types import Part
 from ..sockets.datagrams import listen_udp
 from ..sockets.listening import listen_tcp
-from .messages import MessageError, Start, State, digest, read, write
-from .quota_lease import Held, Parts
-from .swim import Members, Verb, Whole
+from .messages import MEMBER_STATE_LABELS, Incarnation, MemberState, MessageError, decode, digest, encode
+from .quota_lease import QuotaLease, QuotaLeaseHolder
+from .swim import ActionKind, MembershipStateMachine, ViewStatus
 
 DIAL_S = 2.0  # a try that has not ended by then says nothing
 BACKLOG = 512  # connections that wait in the system's queue
-CALLERS_BOUND = 64  # connections at the port at a time; more are closed at once
+MAX_PORT_CONNECTIONS = 64  # connections at the port at a time; more are closed at once
 CALLER_S = 5.0  # and each is closed after this time
 REASONS_BOUND = 32  # reasons for dropped datagrams that are logged
 
 
-def new_token() -> int:
+def new_incarnation_token() -> int:
     return secrets.randbelow((1 << 32) - 1) + 1
 
 
-class Listed(NamedTuple):
+class PeerAddress(NamedTuple):
     """A line of the list of peers."""
 
     name: str
@@ -42,12 +42,12 @@
     port: int
 
 
-class Caller(protocol.Protocol):
+class PortCheckedProtocol(protocol.Protocol):
     """Somebody looks whether this process is there. Nothing is said."""
 
     def connectionMade(self) -> None:
         self.factory.callers += 1
-        if self.factory.callers > CALLERS_BOUND:
+        if self.factory.callers > MAX_PORT_CONNECTIONS:
             self.transport.abortConnection()
         else:
             self.timer = self.factory.reactor.callLater(CALLER_S, self.transport.abortConnection)
@@ -60,14 +60,14 @@
             self.timer.cancel()
 
 
-class Callers(protocol.Factory):
-    noisy, protocol = False, Caller
+class PortCheckedFactory(protocol.Factory):
+    noisy, protocol = False, PortCheckedProtocol
 
     def __init__(self, reactor) -> None:
         self.reactor, self.callers = reactor, 0
 
 
-class Dial(protocol.ClientFactory):
+class PortCheckFactory(protocol.ClientFactory):
     """One try of a peer's port."""
 
     noisy = False
@@ -86,7 +86,7 @@
         self.done(bool(reason.check(error.ConnectionRefusedError)))
 
 
-class Datagrams(protocol.DatagramProtocol):
+class MembershipDatagramProtocol(protocol.DatagramProtocol):
     noisy = False
 
     def __init__(self, came: Callable[[bytes, tuple[str, int]], None]) -> None:
@@ -96,15 +96,15 @@
         self.came(data, address)
 
 
-class FleetService(service.Service):
+class MembershipService(service.Service):
     """One front end among its peers."""
 
     def __init__(
         self,
         reactor: interfaces.IReactorTime,
-        me: Listed,
+        me: PeerAddress,
         fleet: str,
-        peers: list[Listed],
+        peers: list[PeerAddress],
         token: int,
         random_source: random.Random,
         log,
@@ -121,8 +121,8 @@
         self.at = {(p.address, p.port): id for id, p in self.peers.items()}
         self.counts: Counter[str] = Counter()
         self.tcp = self.udp = self.wake = None
-        self.whole: Whole | None = None
-        self.held: Held | None = None
+        self.whole: ViewStatus | None = None
+        self.held: QuotaLease | None = None
         self.door: protocol.Factory | None = None  # who hears connections at the port, where words come by it
         self.versions: Callable[[int], None] = lambda version: None  # hears which terms others run under
 
@@ -132,9 +132,9 @@
     def startService(self) -> None:
         """Raises twisted.internet.error.CannotListenError if the port is taken."""
         if self.told is not None:
-            callers = self.door or Callers(self.reactor)
+            callers = self.door or PortCheckedFactory(self.reactor)
             self.tcp = listen_tcp(self.reactor, self.me.port, callers, BACKLOG, self.me.address, self.log)
-        self.datagrams = Datagrams(self._came)
+        self.datagrams = MembershipDatagramProtocol(self._came)
         try:
             self.udp = listen_udp(self.reactor, self.me.port, self.datagrams, self.me.address)
         except error.CannotListenError:
@@ -143,8 +143,8 @@
             raise
         now = self.now()
         me, fleet = digest(self.me.name), digest(self.fleet)
-        self.members = Members(now, me, self.token, fleet, list(self.peers), self.random_source)
-        self.parts = Parts(now, len(self.peers) + 1)
+        self.members = MembershipStateMachine(now, me, self.token, fleet, list(self.peers), self.random_source)
+        self.parts = QuotaLeaseHolder(now, len(self.peers) + 1)
         super().startService()
         self._turn()
 
@@ -153,7 +153,7 @@
         try:
             if sender is None:
                 raise MessageError("no peer's address")
-            word = read(data)
+            word = decode(data)
         except MessageError as fault:
             self._dropped(str(fault), address)
             return
@@ -175,9 +175,9 @@
         """Pull decisions until there is none, then tell what follows."""
         now = self.now()
         while (d := self.members.decide(now)) is not None:
-            if d.verb is Verb.TELL:
+            if d.verb is ActionKind.SEND:
                 self._send(d)
-            elif d.verb is Verb.TRY:
+            elif d.verb is ActionKind.CHECK_PORT:
                 if self.told is not None:
                     self._try(d.member, now)
             else:
@@ -192,7 +192,7 @@
     def _send(self, decision) -> None:
         peer = self.peers[decision.member]
         try:
-            self.datagrams.transport.write(write(decision.word), (peer.address, peer.port))
+            self.datagrams.transport.write(encode(decision.word), (peer.address, peer.port))
         except OSError as problem:  # no way there at this moment: as if it were lost
             self._dropped(f"not sent: {problem.strerror}", (peer.address, peer.port))
 
@@ -204,11 +204,11 @@
                 self.members.tried(self.now(), member, began_ms, refused)
                 self._turn()
 
-        self.reactor.connectTCP(peer.address, peer.port, Dial(done), timeout=DIAL_S)
+        self.reactor.connectTCP(peer.address, peer.port, PortCheckFactory(done), timeout=DIAL_S)
 
     # -- what is said
 
-    def _say(self, now: float, held: Held) -> None:
+    def _say(self, now: float, held: QuotaLease) -> None:
         """One event a change."""
         while self.members.changes:
             member, what, why = self.members.changes.popleft()
@@ -246,7 +246,7 @@
         for id, peer in sorted(self.peers.items(), key=lambda item: item[1].name):
             x = m.others[id]
             heard_ms = now - x.heard_ms
-            rows.append(_row(peer.name, x.state.name.lower(), now - x.since_ms, heard_ms, x.start, x.why))
+            rows.append(_row(peer.name, MEMBER_STATE_LABELS[x.state], now - x.since_ms, heard_ms, x.start, x.why))
             rows[-1]["terms"] = x.version
         held, size = self.held, self.parts.size
         left_ms = held.part.until_ms - now
@@ -261,7 +261,7 @@
             "stands for dead": held.dead,
             "stood still": m.stalls,
             "own health": m.health,
-            "alive": 1 + sum(x.state is State.ALIVE for x in m.others.values()),
+            "alive": 1 + sum(x.state is MemberState.ALIVE for x in m.others.values()),
             "counts": self.figures(),
             "rows": rows,
         }
@@ -283,7 +283,7 @@
         return self.tcp.stopListening() if self.tcp is not None else None
 
 
-def _row(name: str, state: str, since_ms: float, heard_ms: float, start: Start, why: str) -> dict[str, Any]:
+def _row(name: str, state: str, since_ms: float, heard_ms: float, start: Incarnation, why: str) -> dict[str, Any]:
     return {
         "member": name,
         "state": state,
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -17,7 +17,7 @@
 from ..daemon.shedding import Shedder
 from ..gateway.dispatcher import Function, Host, PendingAnswer
 from ..gateway.outgoing_connections import connector
-from ..membership.service import FleetService, Listed, new_token
+from ..membership.service import MembershipService, PeerAddress, new_incarnation_token
 from ..platform.client_codec import Asks
 from ..platform.configuration import Told, read_peers, read_told
 from ..platform.errors import ProtocolError
@@ -162,11 +162,11 @@
             return
         listen, peers, number = found
         names = ["{}:{}".format(*peer) for peer in peers]
-        listed = [Listed(name, *peer) for name, peer in zip(names, peers)]
-        me = Listed(names[number], *listen)
+        listed = [PeerAddress(name, *peer) for name, peer in zip(names, peers)]
+        me = PeerAddress(names[number], *listen)
         random_source = random.Random(f"{self.told.seed}/{self.told.name}/members")
-        self.fleet = FleetService(
-            self.reactor, me, "platform", listed, new_token(), random_source, self.log, None
+        self.fleet = MembershipService(
+            self.reactor, me, "platform", listed, new_incarnation_token(), random_source, self.log, None
         )
         self.fleet.startService()
 
--- a/petrelway/policy/service.py
+++ b/petrelway/policy/service.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ..membership.service import CALLERS_BOUND, Dial, FleetService, Listed
+from ..membership.service import MAX_PORT_CONNECTIONS, MembershipService, PeerAddress, PortCheckFactory
 from ..wire.framing import Frames, WireError
 from . import state_machine as ledgers
 from .change_coordinator import Try
@@ -75,7 +75,7 @@
     ) -> None:
         self.reactor, self.came, self.dropped = reactor, came, dropped
         self.hearing: set[Hearing] = set()
-        self.bound = CALLERS_BOUND + 2 * members
+        self.bound = MAX_PORT_CONNECTIONS + 2 * members
 
     def close(self) -> None:
         for each in list(self.hearing):
@@ -108,7 +108,7 @@
 
     noisy, protocol = False, Saying
 
-    def __init__(self, reactor, peer: Listed) -> None:
+    def __init__(self, reactor, peer: PeerAddress) -> None:
         self.reactor, self.peer = reactor, peer
         self.waiting: deque[bytes] = deque(maxlen=WAITING_BOUND)
         self.transport = self.connector = self.end = None
@@ -161,7 +161,7 @@
     def __init__(
         self,
         reactor,
-        fleet: FleetService,
+        fleet: MembershipService,
         keepers: list[str],
         file: str,
         own: Terms,
@@ -283,7 +283,7 @@
                 self.party.tried(self.now(), name, began_ms, refused)
                 self.pull()
 
-        self.reactor.connectTCP(peer.peer.address, peer.peer.port, Dial(done), timeout=DIAL_S)
+        self.reactor.connectTCP(peer.peer.address, peer.peer.port, PortCheckFactory(done), timeout=DIAL_S)
 
     # -- what holds
 
--- a/tests/compatibility/forms_fleet_words.py
+++ b/tests/compatibility/forms_fleet_words.py
@@ -11,35 +11,35 @@
 from structlog.testing import ReturnLogger
 from twisted.internet.task import Clock
 
-from petrelway.membership import messages as words
-from petrelway.membership.quota_lease import Parts
-from petrelway.membership.service import FleetService, Listed
-from petrelway.membership.swim import Members
+from petrelway.membership import messages
+from petrelway.membership.quota_lease import QuotaLeaseHolder
+from petrelway.membership.service import MembershipService, PeerAddress
+from petrelway.membership.swim import MembershipStateMachine
 
 TOPIC = "fleet_words"
 CHECK_BYTES = 4
 OVERLONG_BYTES = 300
 
 
-def build(row: list[Any]) -> words.Word:
+def build(row: list[Any]) -> messages.Message:
     """A word of its values in the order of the datagram's head."""
     kind, fleet, sender, start, peers, view, number, about, news, version = row
     told = tuple(
-        words.News(member, words.Start(*its_start), words.State(state)) for member, its_start, state in news
+        messages.MemberUpdate(member, messages.Incarnation(*its_start), messages.MemberState(state)) for member, its_start, state in news
     )
-    return words.Word(
-        words.Kind(kind), fleet, sender, words.Start(*start), peers, view, number, about, told, version
+    return messages.Message(
+        messages.MessageKind(kind), fleet, sender, messages.Incarnation(*start), peers, view, number, about, told, version
     )
 
 
-def plain(word: words.Word) -> list[Any]:
+def plain(word: messages.Message) -> list[Any]:
     """The values of a word, by position."""
     return json.loads(json.dumps(word))
 
 
 def datagrams() -> list[list[Any]]:
     """Each message of the table as bytes."""
-    return [[title, words.write(build(row))] for title, row in load(TOPIC, "messages.json")]
+    return [[title, messages.encode(build(row))] for title, row in load(TOPIC, "messages.json")]
 
 
 def resealed(body: bytes) -> bytes:
@@ -70,8 +70,8 @@
     found = []
     for title, data in odd_datagrams():
         try:
-            found.append([title, data, plain(words.read(data))])
-        except words.MessageError as fault:
+            found.append([title, data, plain(messages.decode(data))])
+        except messages.MessageError as fault:
             found.append([title, data, str(fault)])
     return found
 
@@ -79,35 +79,35 @@
 def bounds() -> list[list[Any]]:
     """The numbers and layouts that both ends of a datagram must agree about."""
     return [
-        [words.DATAGRAM_BOUND, words.VERSION, words.MARK, words.NEWS_MOST, words.TERMS_NAME],
-        [words.HEAD.format, words.NEWS.format, words.TERMS.format, words.CHECK.format],
-        [int(kind) for kind in words.Kind],
-        [int(state) for state in words.State],
+        [messages.DATAGRAM_BOUND, messages.VERSION, messages.MAGIC, messages.MAX_UPDATES, messages.POLICY_VERSION_SECTION_TYPE],
+        [messages.HEADER.format, messages.MEMBER_UPDATE.format, messages.POLICY_VERSION_SECTION.format, messages.CHECKSUM.format],
+        [int(kind) for kind in messages.MessageKind],
+        [int(state) for state in messages.MemberState],
     ]
 
 
 def identifiers() -> list[list[Any]]:
     """The digests of names, and the digests of peers and view that a fresh member tells."""
     names = load(TOPIC, "names.json")
-    me, other, third = (words.digest(*some) for some in names[:3])
-    members = Members(0.0, me, 9, third, [other], random.Random(1))
-    return [[some, words.digest(*some)] for some in names] + [["fresh", members.peers, members.view]]
+    me, other, third = (messages.digest(*some) for some in names[:3])
+    members = MembershipStateMachine(0.0, me, 9, third, [other], random.Random(1))
+    return [[some, messages.digest(*some)] for some in names] + [["fresh", members.peers, members.view]]
 
 
 def page() -> list[Any]:
     """The members as operators see them, as JSON text, with one peer in each state."""
-    me = Listed("front-0", "127.0.0.1", 9000)
-    peers = [Listed(f"front-{int(state) + 1}", "127.0.0.1", 9001 + state) for state in words.State]
-    service = FleetService(
+    me = PeerAddress("front-0", "127.0.0.1", 9000)
+    peers = [PeerAddress(f"front-{int(state) + 1}", "127.0.0.1", 9001 + state) for state in messages.MemberState]
+    service = MembershipService(
         Clock(), me, "gateway", [me, *peers], 7, random.Random(1), ReturnLogger(), None, None
     )
-    ids = [words.digest(peer.name) for peer in peers]
-    service.members = Members(
-        0.0, words.digest("front-0"), 7, words.digest("gateway"), ids, service.random_source
+    ids = [messages.digest(peer.name) for peer in peers]
+    service.members = MembershipStateMachine(
+        0.0, messages.digest("front-0"), 7, messages.digest("gateway"), ids, service.random_source
     )
-    service.parts = Parts(0.0, len(ids) + 1)
+    service.parts = QuotaLeaseHolder(0.0, len(ids) + 1)
     service.held = service.parts.held(service.members, 0.0)
-    for number, state in zip(ids, words.State):
+    for number, state in zip(ids, messages.MemberState):
         service.members.others[number].state = state
     return [json.dumps(service.members_seen())]
 
--- a/tests/compatibility/forms_members_page.py
+++ b/tests/compatibility/forms_members_page.py
@@ -9,7 +9,7 @@
 from doubles import Log
 from twisted.internet import task
 
-from petrelway.membership.service import FleetService, Listed
+from petrelway.membership.service import MembershipService, PeerAddress
 
 QUIET_S = 30
 SEED = 5
@@ -34,8 +34,8 @@
     """The members as one sees them that hears nobody."""
     reactor = Sockets()
     reactor.advance(1000.0)
-    me, *others = (Listed(name, f"10.0.0.{i}", 7946) for i, name in enumerate("abc", 1))
-    fleet = FleetService(reactor, me, "f", others, SEED, random.Random(1), Log(), None)
+    me, *others = (PeerAddress(name, f"10.0.0.{i}", 7946) for i, name in enumerate("abc", 1))
+    fleet = MembershipService(reactor, me, "f", others, SEED, random.Random(1), Log(), None)
     fleet.startService()
     fleet.datagrams.datagramReceived(DATAGRAM, (others[0].address, others[0].port))
     for _ in range(QUIET_S):
--- a/tests/compatibility/forms_policy_change.py
+++ b/tests/compatibility/forms_policy_change.py
@@ -15,9 +15,9 @@
 
 from petrelway.console import pages
 from petrelway.daemon.shedding import Step
-from petrelway.membership.messages import State
-from petrelway.membership.service import FleetService, Listed
-from petrelway.membership.swim import Whole
+from petrelway.membership.messages import MEMBER_STATE_LABELS, MemberState
+from petrelway.membership.service import MembershipService, PeerAddress
+from petrelway.membership.swim import ViewStatus
 from petrelway.policy.document import canonical, check, differences, digest
 from petrelway.policy.messages import Kept, Propose
 from petrelway.policy.policy_holder import Serving, Terms
@@ -36,8 +36,8 @@
     def __init__(self, folder: Path) -> None:
         self.reactor, log = Sockets(), Log()
         self.reactor.advance(1000.0)
-        me = Listed("a", "10.0.0.1", 7946)
-        fleet = FleetService(self.reactor, me, "f", [], SEED, random.Random(1), log, None)
+        me = PeerAddress("a", "10.0.0.1", 7946)
+        fleet = MembershipService(self.reactor, me, "f", [], SEED, random.Random(1), log, None)
         fleet.startService()
         own = document("terms")
         may_vote(folder / "kept")
@@ -103,8 +103,8 @@
 def state_words() -> dict[str, list[str]]:
     """The words for states that pages tell, each in the form in which they tell it."""
     return {
-        "a member's state": [state.name.lower() for state in State],
-        "the fleet's view": [whole.value for whole in Whole],
+        "a member's state": [MEMBER_STATE_LABELS[state] for state in MemberState],
+        "the fleet's view": [whole.value for whole in ViewStatus],
         "what a daemon gives up": [step.name.lower().replace("_", " ") for step in Step],
         "how terms hold": [serving.value for serving in Serving],
         "a keeper's role": [role.value for role in Role],
--- a/tests/compatibility/forms_policy_page.py
+++ b/tests/compatibility/forms_policy_page.py
@@ -11,7 +11,7 @@
 from structlog.testing import ReturnLogger
 from twisted.internet.testing import MemoryReactorClock
 
-from petrelway.membership.service import FleetService, Listed
+from petrelway.membership.service import MembershipService, PeerAddress
 from petrelway.policy import messages as words
 from petrelway.policy.policy_holder import Serving, Terms
 from petrelway.policy.policy_member import Party
@@ -38,9 +38,9 @@
     """The first member's service, not yet started, on a reactor that is none."""
     reactor, listed = (
         MemoryReactorClock(),
-        [Listed(name, "127.0.0.1", 9000 + n) for n, name in enumerate(NAMES)],
+        [PeerAddress(name, "127.0.0.1", 9000 + n) for n, name in enumerate(NAMES)],
     )
-    fleet = FleetService(
+    fleet = MembershipService(
         reactor, listed[0], "gateway", listed, TOKEN, random.Random(1), ReturnLogger(), None, None
     )
     return PolicyService(reactor, fleet, list(keepers), "", OWN, "{}", make, ignore, ReturnLogger())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,33 +15,40 @@
 from petrelway.fakes.in_memory_network import World
 from petrelway.invariants import membership_checker as fleet
 from petrelway.invariants.state_explorer import explore
-from petrelway.membership import messages as words
+from petrelway.membership import messages
 from petrelway.membership import quota_lease as parts_module
 from petrelway.membership import swim as members_module
-from petrelway.membership.messages import Kind, MessageError, News, Start, State, Word
-from petrelway.membership.quota_lease import WAIT_MS, Parts
-from petrelway.membership.swim import Members, Verb, Whole
+from petrelway.membership.messages import (
+    Incarnation,
+    MemberState,
+    MemberUpdate,
+    Message,
+    MessageError,
+    MessageKind,
+)
+from petrelway.membership.quota_lease import STARTUP_WAIT_MS, QuotaLeaseHolder
+from petrelway.membership.swim import ActionKind, MembershipStateMachine, ViewStatus
 
 A, B, C = 11, 22, 33
 EVER = math.inf
 
 
 def member(now=0.0, me=A, token=5, others=(B, C)):
-    return Members(now, me, token, 1, list(others), random.Random(1))
+    return MembershipStateMachine(now, me, token, 1, list(others), random.Random(1))
 
 
 PEERS = member().peers
 
 
-def word(kind=Kind.HERE, sender=B, start=Start(1, 9), news=(), number=0, about=0, fleet=1, peers=PEERS):
-    return Word(kind, fleet, sender, start, peers, 0, number, about, tuple(news))
+def word(kind=MessageKind.ACK, sender=B, start=Incarnation(1, 9), news=(), number=0, about=0, fleet=1, peers=PEERS):
+    return Message(kind, fleet, sender, start, peers, 0, number, about, tuple(news))
 
 
 def pull(m, now):
     """All that it decides now, but for the wake."""
     found = []
     while (d := m.decide(now)) is not None:
-        if d.verb is not Verb.WAKE:
+        if d.verb is not ActionKind.WAKE:
             found.append(d)
     return found
 
@@ -57,27 +64,27 @@
 
 # -- words
 
-HEAD = words.write(word())
+HEADER = messages.encode(word())
 
 
 @pytest.mark.parametrize(
     "data, why",
     [
         (b"", "length"),
-        (HEAD[:20], "length"),
-        (HEAD + b"x" * 256, "length"),
-        (b"xx" + HEAD[2:], "mark"),
-        (HEAD[:-1] + bytes([HEAD[-1] ^ 1]), "check"),
-        (HEAD[:10] + b"\xff" + HEAD[11:], "check"),
+        (HEADER[:20], "length"),
+        (HEADER + b"x" * 256, "length"),
+        (b"xx" + HEADER[2:], "mark"),
+        (HEADER[:-1] + bytes([HEADER[-1] ^ 1]), "check"),
+        (HEADER[:10] + b"\xff" + HEADER[11:], "check"),
     ],
 )
 def test_bytes_that_are_no_word_are_refused_by_reason(data, why):
     with pytest.raises(MessageError, match=why):
-        words.read(data)
+        messages.decode(data)
 
 
 def checked(body):
-    return body + words.CHECK.pack(words.zlib.crc32(body))
+    return body + messages.CHECKSUM.pack(messages.zlib.crc32(body))
 
 
 @pytest.mark.parametrize(
@@ -91,49 +98,49 @@
 )
 def test_a_good_check_does_not_make_a_word(change, why):
     with pytest.raises(MessageError, match=why):
-        words.read(checked(change(HEAD[:-4])))
+        messages.decode(checked(change(HEADER[:-4])))
 
 
 def test_sections_of_a_later_version_are_passed_over():
-    assert words.read(checked(HEAD[:-4] + b"\x07\x03abc")) == word()
+    assert messages.decode(checked(HEADER[:-4] + b"\x07\x03abc")) == word()
 
 
 ids = st.integers(0, 2**32 - 1)
-starts = st.builds(Start, ids, ids)
-said = st.builds(News, st.sampled_from([A, B, C, 44]), starts, st.sampled_from(State))
+starts = st.builds(Incarnation, ids, ids)
+said = st.builds(MemberUpdate, st.sampled_from([A, B, C, 44]), starts, st.sampled_from(MemberState))
 
 
-@given(st.builds(Word, st.sampled_from(Kind), ids, ids, starts, ids, ids, ids, ids,
-                 st.lists(said, max_size=words.NEWS_MOST).map(tuple), ids))  # fmt: skip
+@given(st.builds(Message, st.sampled_from(MessageKind), ids, ids, starts, ids, ids, ids, ids,
+                 st.lists(said, max_size=messages.MAX_UPDATES).map(tuple), ids))  # fmt: skip
 def test_every_word_fits_and_comes_back(some):
-    data = words.write(some)
-    assert len(data) <= words.DATAGRAM_BOUND and words.read(data) == some
+    data = messages.encode(some)
+    assert len(data) <= messages.DATAGRAM_BOUND and messages.decode(data) == some
 
 
 @given(st.binary(max_size=300))
 def test_any_bytes_are_a_word_or_a_fault(data):
     try:
-        words.read(data)
+        messages.decode(data)
     except MessageError:
         pass
 
 
-@given(st.integers(0, len(HEAD) * 8 - 1))
+@given(st.integers(0, len(HEADER) * 8 - 1))
 def test_a_flipped_bit_is_noticed(bit):
-    spoilt = bytearray(HEAD)
+    spoilt = bytearray(HEADER)
     spoilt[bit // 8] ^= 1 << bit % 8
     with pytest.raises(MessageError):
-        words.read(bytes(spoilt))
+        messages.decode(bytes(spoilt))
 
 
 # -- members
 
 foreign = st.one_of(
     st.builds(
-        Word, st.sampled_from(Kind), ids.filter(lambda f: f != 1), st.just(B), starts, ids, ids, ids, ids
+        Message, st.sampled_from(MessageKind), ids.filter(lambda f: f != 1), st.just(B), starts, ids, ids, ids, ids
     ),
     st.builds(
-        Word, st.sampled_from(Kind), st.just(1), ids.filter(lambda s: s != B), starts, ids, ids, ids, ids
+        Message, st.sampled_from(MessageKind), st.just(1), ids.filter(lambda s: s != B), starts, ids, ids, ids, ids
     ),
 )
 
@@ -141,7 +148,7 @@
 @given(foreign)
 def test_words_of_another_fleet_or_under_anothers_address_change_no_view(strange):
     m = member()
-    m.heard(1.0, B, word(news=[News(C, Start(3, 3), State.ALIVE)]))
+    m.heard(1.0, B, word(news=[MemberUpdate(C, Incarnation(3, 3), MemberState.ALIVE)]))
     before = m.view, {id: (x.state, x.start, x.heard_ms) for id, x in m.others.items()}
     m.heard(2.0, B, strange)
     m.heard(2.0, 99, word(sender=99))
@@ -150,7 +157,7 @@
 
 
 @settings(max_examples=200)
-@given(st.lists(st.tuples(st.sampled_from([B, C]), st.sampled_from(Kind), starts, st.lists(said, max_size=4),
+@given(st.lists(st.tuples(st.sampled_from([B, C]), st.sampled_from(MessageKind), starts, st.lists(said, max_size=4),
                           st.floats(0, 3000)), max_size=30))  # fmt: skip
 def test_no_row_of_words_makes_it_fail_or_speak_without_end(row):
     m, now = member(), 0.0
@@ -159,99 +166,99 @@
         m.heard(now, sender, word(kind, sender, start, news))
         found = pull(m, now)
         assert len(found) < 40
-        assert all(len(words.write(d.word)) <= 256 for d in found if d.word)
-        expected = words.digest  # the view's digest is that of what it holds
+        assert all(len(messages.encode(d.word)) <= 256 for d in found if d.word)
+        expected = messages.digest  # the view's digest is that of what it holds
         view = 0
-        for x in (*m.others.values(), SimpleNamespace(id=A, start=m.start, state=State.ALIVE)):
-            view ^= expected(words.NEWS.pack(x.id, *x.start, x.state).hex())
+        for x in (*m.others.values(), SimpleNamespace(id=A, start=m.start, state=MemberState.ALIVE)):
+            view ^= expected(messages.MEMBER_UPDATE.pack(x.id, *x.start, x.state).hex())
         assert m.view == view
 
 
 NEWS_OF_C = [
     # what is held of C at start (2, 7), what is said of it, what is held after
-    (State.ALIVE, Start(1, 7), State.FAILED, State.ALIVE),  # an older start
-    (State.ALIVE, Start(2, 7), State.SUSPECTED, State.SUSPECTED),
-    (State.ALIVE, Start(2, 7), State.LEFT, State.LEFT),
-    (State.ALIVE, Start(3, 7), State.FAILED, State.FAILED),
-    (State.SUSPECTED, Start(2, 7), State.ALIVE, State.SUSPECTED),  # only a later start clears it
-    (State.SUSPECTED, Start(3, 7), State.ALIVE, State.ALIVE),
-    (State.FAILED, Start(2, 7), State.SUSPECTED, State.FAILED),
-    (State.FAILED, Start(2, 8), State.ALIVE, State.ALIVE),  # another process of that name
-    (State.LEFT, Start(2, 7), State.FAILED, State.LEFT),
-    (State.LEFT, Start(3, 7), State.ALIVE, State.ALIVE),
-    (State.ALIVE, Start(2, 7), State.UNHEARD, State.ALIVE),
+    (MemberState.ALIVE, Incarnation(1, 7), MemberState.DEAD, MemberState.ALIVE),  # an older start
+    (MemberState.ALIVE, Incarnation(2, 7), MemberState.SUSPECT, MemberState.SUSPECT),
+    (MemberState.ALIVE, Incarnation(2, 7), MemberState.LEFT, MemberState.LEFT),
+    (MemberState.ALIVE, Incarnation(3, 7), MemberState.DEAD, MemberState.DEAD),
+    (MemberState.SUSPECT, Incarnation(2, 7), MemberState.ALIVE, MemberState.SUSPECT),  # only a later start clears it
+    (MemberState.SUSPECT, Incarnation(3, 7), MemberState.ALIVE, MemberState.ALIVE),
+    (MemberState.DEAD, Incarnation(2, 7), MemberState.SUSPECT, MemberState.DEAD),
+    (MemberState.DEAD, Incarnation(2, 8), MemberState.ALIVE, MemberState.ALIVE),  # another process of that name
+    (MemberState.LEFT, Incarnation(2, 7), MemberState.DEAD, MemberState.LEFT),
+    (MemberState.LEFT, Incarnation(3, 7), MemberState.ALIVE, MemberState.ALIVE),
+    (MemberState.ALIVE, Incarnation(2, 7), MemberState.UNKNOWN, MemberState.ALIVE),
 ]
 
 
 @pytest.mark.parametrize("held, start, state, after", NEWS_OF_C)
 def test_what_news_does_to_what_is_held(held, start, state, after):
     m = member()
-    m._hold(m.others[C], Start(2, 7), held, 0.0, "")
-    m.heard(10_000.0, B, word(news=[News(C, start, state)]))
+    m._hold(m.others[C], Incarnation(2, 7), held, 0.0, "")
+    m.heard(10_000.0, B, word(news=[MemberUpdate(C, start, state)]))
     assert m.others[C].state is after
 
 
 def test_ones_own_ears_beat_anothers_word():
     m = member()
-    m.heard(0.0, C, word(sender=C, start=Start(2, 7)))
-    m.heard(1000.0, B, word(news=[News(C, Start(2, 7), State.FAILED)]))
-    assert m.others[C].state is State.SUSPECTED
+    m.heard(0.0, C, word(sender=C, start=Incarnation(2, 7)))
+    m.heard(1000.0, B, word(news=[MemberUpdate(C, Incarnation(2, 7), MemberState.DEAD)]))
+    assert m.others[C].state is MemberState.SUSPECT
     m = member()
-    m.heard(0.0, C, word(sender=C, start=Start(2, 7)))
-    m.heard(members_module.EARS_MS + 1, B, word(news=[News(C, Start(2, 7), State.FAILED)]))
-    assert m.others[C].state is State.FAILED
+    m.heard(0.0, C, word(sender=C, start=Incarnation(2, 7)))
+    m.heard(members_module.RECENTLY_HEARD_MS + 1, B, word(news=[MemberUpdate(C, Incarnation(2, 7), MemberState.DEAD)]))
+    assert m.others[C].state is MemberState.DEAD
 
 
 def test_an_accusation_is_answered_by_a_later_start():
     m = member()
-    m.heard(0.0, B, word(news=[News(A, m.start, State.SUSPECTED)]))
-    assert m.start == Start(2, 5) and m.whole(1.0) is Whole.IN_DOUBT
-    m.heard(1.0, B, word(news=[News(A, Start(1, 5), State.FAILED)]))  # an old one
-    assert m.start == Start(2, 5)
+    m.heard(0.0, B, word(news=[MemberUpdate(A, m.start, MemberState.SUSPECT)]))
+    assert m.start == Incarnation(2, 5) and m.whole(1.0) is ViewStatus.UNCERTAIN
+    m.heard(1.0, B, word(news=[MemberUpdate(A, Incarnation(1, 5), MemberState.DEAD)]))  # an old one
+    assert m.start == Incarnation(2, 5)
 
 
 def test_a_restart_under_the_same_name_outdoes_the_earlier_process():
     m = member(token=1)
-    for told in (Start(5, 9), Start(6, 9)):  # its last words come bit by bit; it is dead
-        m.heard(0.0, B, word(news=[News(A, told, State.FAILED)]))
-    assert m.start > Start(6, 9) and m.start.token == 1 and not m.yielded
+    for told in (Incarnation(5, 9), Incarnation(6, 9)):  # its last words come bit by bit; it is dead
+        m.heard(0.0, B, word(news=[MemberUpdate(A, told, MemberState.DEAD)]))
+    assert m.start > Incarnation(6, 9) and m.start.token == 1 and not m.yielded
 
 
 def test_two_processes_under_one_name_neither_flap_nor_hold_the_share_twice():
     a, b = member(token=1), member(token=2)
     for _ in range(20):
-        a.heard(0.0, B, word(news=[News(A, b.start, State.ALIVE)]))
-        b.heard(0.0, B, word(news=[News(A, a.start, State.ALIVE)]))
+        a.heard(0.0, B, word(news=[MemberUpdate(A, b.start, MemberState.ALIVE)]))
+        b.heard(0.0, B, word(news=[MemberUpdate(A, a.start, MemberState.ALIVE)]))
     assert [a.yielded, b.yielded] == [True, False]
     assert "yielded" in [c.what for c in a.changes] and "two processes" in [c.what for c in a.changes]
     assert b.start.incarnation < 10 * members_module.STEP
-    assert Parts(-1e9, 3).held(a, 0.0).part.share == 0.0
+    assert QuotaLeaseHolder(-1e9, 3).held(a, 0.0).part.share == 0.0
 
 
 def test_one_that_stood_still_finds_out_and_accuses_nobody():
     m = member()
     for id in (B, C):
-        m.heard(0.0, id, word(sender=id, start=Start(1, id)))
+        m.heard(0.0, id, word(sender=id, start=Incarnation(1, id)))
     run(m, 0.0, 1500.0)
     assert m.probes
     pull(m, 4600.0)
-    assert m.stalls == 1 and not m.probes and m.whole(4600.0) is Whole.IN_DOUBT
+    assert m.stalls == 1 and not m.probes and m.whole(4600.0) is ViewStatus.UNCERTAIN
     run(m, 4700.0, 5600.0)
-    assert {x.state for x in m.others.values()} == {State.ALIVE}
+    assert {x.state for x in m.others.values()} == {MemberState.ALIVE}
 
 
 def test_one_that_hears_nobody_accuses_nobody_and_says_cut_off():
     m = member()
     for id in (B, C):
-        m.heard(0.0, id, word(sender=id, start=Start(1, id)))
+        m.heard(0.0, id, word(sender=id, start=Incarnation(1, id)))
     run(m, 0.0, 60_000.0)
-    assert m.whole(60_000.0) is Whole.CUT_OFF
-    assert State.FAILED not in {x.state for x in m.others.values()}
+    assert m.whole(60_000.0) is ViewStatus.ISOLATED
+    assert MemberState.DEAD not in {x.state for x in m.others.values()}
 
 
 def test_silence_with_others_heard_is_suspected_then_failed():
     m, now = member(), 0.0
-    m.heard(0.0, C, word(sender=C, start=Start(1, C)))
+    m.heard(0.0, C, word(sender=C, start=Incarnation(1, C)))
     states = []
     while now < 40_000.0:
         now += 100.0
@@ -259,20 +266,20 @@
         m.heard(now, B, word())
         states.append(m.others[C].state)
     order = [s for i, s in enumerate(states) if not i or s is not states[i - 1]]
-    assert order == [State.ALIVE, State.SUSPECTED, State.FAILED]
-    assert not members_module.proved(m.others[C], now) and m.whole(now) is Whole.IN_DOUBT
+    assert order == [MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD]
+    assert not members_module.proved(m.others[C], now) and m.whole(now) is ViewStatus.UNCERTAIN
 
 
 def test_a_refused_port_is_a_proof_until_the_member_is_heard():
     m = member()
     m.heard(0.0, B, word())
-    m.heard(0.0, C, word(sender=C, start=Start(1, C)))
+    m.heard(0.0, C, word(sender=C, start=Incarnation(1, C)))
     m.tried(400.0, C, 300.0, False)
-    assert m.others[C].state is State.ALIVE
+    assert m.others[C].state is MemberState.ALIVE
     m.tried(400.0, C, 300.0, True)
-    assert m.others[C].state is State.FAILED and members_module.proved(m.others[C], 400.0)
-    m.heard(500.0, C, word(sender=C, start=Start(2, C)))
-    assert not members_module.proved(m.others[C], 500.0) and m.others[C].state is State.ALIVE
+    assert m.others[C].state is MemberState.DEAD and members_module.proved(m.others[C], 400.0)
+    m.heard(500.0, C, word(sender=C, start=Incarnation(2, C)))
+    assert not members_module.proved(m.others[C], 500.0) and m.others[C].state is MemberState.ALIVE
     m.tried(600.0, C, 450.0, True)  # a try that began before it was heard
     assert not members_module.proved(m.others[C], 600.0)
 
@@ -282,40 +289,40 @@
         others = list(range(100, 100 + size))
         m = member(others=others)
         for id in others:
-            m._hold(m.others[id], Start(1, id), State.FAILED, 0.0, "")
+            m._hold(m.others[id], Incarnation(1, id), MemberState.DEAD, 0.0, "")
         found = run(m, 0.0, 10_000.0)
-        tells = sum(d.verb is Verb.TELL for d in found)
-        tries = sum(d.verb is Verb.TRY for d in found)
+        tells = sum(d.verb is ActionKind.SEND for d in found)
+        tries = sum(d.verb is ActionKind.CHECK_PORT for d in found)
         assert tells <= 12 and tries <= 10 * members_module.TRIES_PER_S + 12
 
 
 def test_a_different_list_of_peers_is_doubt():
     m = member(others=(B,))
     m.heard(0.0, B, word(peers=m.peers))
-    assert m.whole(1.0) is Whole.WHOLE
+    assert m.whole(1.0) is ViewStatus.COMPLETE
     m.heard(2.0, B, word(peers=m.peers ^ 1))
-    assert m.whole(3.0) is Whole.IN_DOUBT
+    assert m.whole(3.0) is ViewStatus.UNCERTAIN
 
 
 def test_one_that_leaves_says_so_and_is_not_asked_again():
     m, left = member(), member(me=B, others=(A, C))
     left.heard(0.0, A, word(sender=A, start=m.start))
     for d in left.leave():
-        assert d.word.kind is Kind.LEAVING
+        assert d.word.kind is MessageKind.LEAVE
         m.heard(1.0, B, d.word)
-    assert m.others[B].state is State.LEFT
-    assert all(d.member != B for d in run(m, 2.0, 10_000.0) if d.verb is Verb.TELL)
+    assert m.others[B].state is MemberState.LEFT
+    assert all(d.member != B for d in run(m, 2.0, 10_000.0) if d.verb is ActionKind.SEND)
 
 
 def test_the_last_one_left_stands_for_all_once_each_is_proved_dead():
     m = member()
     for id in (B, C):
-        m.heard(0.0, id, word(sender=id, start=Start(1, id), peers=m.peers))
+        m.heard(0.0, id, word(sender=id, start=Incarnation(1, id), peers=m.peers))
     run(m, 0.0, 9000.0)
     m.tried(9000.0, B, 9000.0, True)
-    assert m.whole(9000.0) is Whole.CUT_OFF
+    assert m.whole(9000.0) is ViewStatus.ISOLATED
     m.tried(9000.0, C, 9000.0, True)
-    assert m.whole(9000.0) is Whole.WHOLE and len(m.proved(9000.0)) == 2
+    assert m.whole(9000.0) is ViewStatus.COMPLETE and len(m.proved(9000.0)) == 2
 
 
 def test_a_fleet_in_memory_agrees_after_a_cut_with_restarts_on_both_sides():
@@ -334,7 +341,7 @@
         sea.start(number)
     sim.run(sim.now_s + 10.0 + 20.0)
     views = [p.members for p in sea.peers.values()]
-    assert {m.whole(sea.now()) for m in views} == {Whole.WHOLE} and len({m.view for m in views}) == 1
+    assert {m.whole(sea.now()) for m in views} == {ViewStatus.COMPLETE} and len({m.view for m in views}) == 1
     assert sum(p.held.part.share for p in sea.peers.values()) == pytest.approx(1.0)
 
 
@@ -343,11 +350,11 @@
 PARTS = [
     # age of this process, when others' ports were refused (age of the proof), share, why
     (0.0, [], 0.0, "just started"),
-    (WAIT_MS - 1, [], 0.0, "just started"),
-    (WAIT_MS, [], 1 / 3, "own share"),
-    (WAIT_MS, [1000.0], 1 / 2, "dead"),
-    (WAIT_MS, [1000.0, 10.0], 1.0, "dead"),
-    (WAIT_MS, [members_module.PROOF_MS], 1 / 3, "in doubt"),
+    (STARTUP_WAIT_MS - 1, [], 0.0, "just started"),
+    (STARTUP_WAIT_MS, [], 1 / 3, "own share"),
+    (STARTUP_WAIT_MS, [1000.0], 1 / 2, "dead"),
+    (STARTUP_WAIT_MS, [1000.0, 10.0], 1.0, "dead"),
+    (STARTUP_WAIT_MS, [members_module.PROOF_MS], 1 / 3, "in doubt"),
 ]
 
 
@@ -356,12 +363,12 @@
     now = 1e6
     m = member(now - age)
     for id in (B, C):
-        m.heard(now - 10_000.0, id, word(sender=id, start=Start(1, id)))
+        m.heard(now - 10_000.0, id, word(sender=id, start=Incarnation(1, id)))
     m.last_heard_ms = m.turned_ms = now
     m.stalled_ms = -math.inf
     for id, old in zip((B, C), proofs):
         m.tried(now, id, now - old, True)
-    held = Parts(now - age, 3).held(m, now)
+    held = QuotaLeaseHolder(now - age, 3).held(m, now)
     assert held.part.share == pytest.approx(share) and why in held.why
     if proofs and share > 1 / 3:
         assert held.part.until_ms == pytest.approx(now - max(proofs) + members_module.PROOF_MS)
@@ -370,15 +377,15 @@
 # -- every order of events
 
 MUTANTS = {
-    "no wait": lambda patch: patch.setattr(parts_module, "WAIT_MS", 0.0),
+    "no wait": lambda patch: patch.setattr(parts_module, "STARTUP_WAIT_MS", 0.0),
     "no room for drift": lambda patch: (
-        patch.setattr(parts_module, "WAIT_MS", members_module.PROOF_MS),
+        patch.setattr(parts_module, "STARTUP_WAIT_MS", members_module.PROOF_MS),
         patch.setattr(partners, "STEP_MS", members_module.PROOF_MS / 4),
     ),
     "proof counted from its arrival": lambda patch: patch.setattr(
-        Members,
+        MembershipStateMachine,
         "tried",
-        lambda self, now, m, began, refused, was=Members.tried: was(self, now, m, now, refused),
+        lambda self, now, m, began, refused, was=MembershipStateMachine.tried: was(self, now, m, now, refused),
     ),
     "silence taken for proof": lambda patch: patch.setattr(
         partners, "moves", lambda s, was=partners.moves: [*was(s), *silent(s)]
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -10,14 +10,14 @@
 from twisted.python.failure import Failure
 
 from petrelway.fakes.platform_peers import SETTINGS, configuration
-from petrelway.membership import messages as words
-from petrelway.membership.messages import Kind, Start, State, Word, digest
-from petrelway.membership.service import FleetService, Listed
+from petrelway.membership import messages
+from petrelway.membership.messages import Incarnation, MemberState, Message, MessageKind, digest
+from petrelway.membership.service import MembershipService, PeerAddress
 from petrelway.node.service import NodeService
 from petrelway.platform.configuration import read_peers, read_told
 from petrelway.platform.errors import ProtocolError
 
-ME, OTHER, THIRD = (Listed(name, f"10.0.0.{i}", 7946) for i, name in enumerate("abc", 1))
+ME, OTHER, THIRD = (PeerAddress(name, f"10.0.0.{i}", 7946) for i, name in enumerate("abc", 1))
 
 
 class Closing:
@@ -51,16 +51,16 @@
     def __init__(self, ports=True):
         self.reactor, self.log, self.told = Sockets(), Log(), []
         self.reactor.advance(1000.0)
-        self.fleet = FleetService(
+        self.fleet = MembershipService(
             self.reactor, ME, "f", [OTHER, THIRD], 5, random.Random(1), self.log,
             self.told.append if ports else None,
         )  # fmt: skip
         self.fleet.startService()
 
-    def hear(self, peer, kind=Kind.HERE, start=Start(1, 9), number=0, fleet="f"):
+    def hear(self, peer, kind=MessageKind.ACK, start=Incarnation(1, 9), number=0, fleet="f"):
         peers = self.fleet.members.peers
-        word = Word(kind, digest(fleet), digest(peer.name), start, peers, 0, number, 0)
-        self.fleet.datagrams.datagramReceived(words.write(word), (peer.address, peer.port))
+        word = Message(kind, digest(fleet), digest(peer.name), start, peers, 0, number, 0)
+        self.fleet.datagrams.datagramReceived(messages.encode(word), (peer.address, peer.port))
 
     def state(self, peer):
         return self.fleet.members.others[digest(peer.name)].state
@@ -72,10 +72,10 @@
 
 def test_words_pass_and_an_ask_is_answered():
     rig = Rig()
-    rig.hear(OTHER, Kind.ASK, number=77)
+    rig.hear(OTHER, MessageKind.PING, number=77)
     data, to = rig.reactor.sent[-1]
-    assert to == (OTHER.address, OTHER.port) and words.read(data)[0] is Kind.HERE
-    assert words.read(data).number == 77 and rig.state(OTHER) is State.ALIVE
+    assert to == (OTHER.address, OTHER.port) and messages.decode(data)[0] is MessageKind.ACK
+    assert messages.decode(data).number == 77 and rig.state(OTHER) is MemberState.ALIVE
 
 
 def test_what_is_dropped_is_counted_and_said_once():
@@ -87,16 +87,16 @@
     counts = rig.fleet.figures()
     assert counts["length"] == 3 and counts["no peer's address"] == 3 and counts["another fleet"] == 1
     assert sum("datagram dropped" in str(line) for line in rig.log.lines) == 2
-    assert rig.state(OTHER) is State.UNHEARD
+    assert rig.state(OTHER) is MemberState.UNKNOWN
 
 
 @pytest.mark.parametrize(
     "how, state",
     [
-        (error.ConnectionRefusedError(), State.FAILED),
-        (error.TimeoutError(), State.SUSPECTED),
-        (error.NoRouteError(), State.SUSPECTED),
-        (error.ConnectionLost(), State.SUSPECTED),
+        (error.ConnectionRefusedError(), MemberState.DEAD),
+        (error.TimeoutError(), MemberState.SUSPECT),
+        (error.NoRouteError(), MemberState.SUSPECT),
+        (error.ConnectionLost(), MemberState.SUSPECT),
     ],
 )
 def test_only_a_refused_port_is_a_proof(how, state):
@@ -104,11 +104,11 @@
     rig.hear(OTHER)
     for _ in range(200):
         rig.run(0.1)
-        rig.hear(THIRD, start=Start(1, 8))
+        rig.hear(THIRD, start=Incarnation(1, 8))
         for _, dial in rig.reactor.dialled:
             dial.clientConnectionFailed(None, Failure(how))
         rig.reactor.dialled.clear()
-        if rig.state(OTHER) is not State.ALIVE:
+        if rig.state(OTHER) is not MemberState.ALIVE:
             break
     assert rig.state(OTHER) is state  # the first that it is held for after that
 
@@ -125,7 +125,7 @@
     rig.hear(OTHER)
     rig.reactor.sent.clear()
     rig.fleet.stopService()
-    assert [words.read(data).kind for data, _ in rig.reactor.sent] == [Kind.LEAVING]
+    assert [messages.decode(data).kind for data, _ in rig.reactor.sent] == [MessageKind.LEAVE]
     assert not rig.reactor.tcp[0].open and not rig.reactor.udp[0].open
     assert not rig.reactor.getDelayedCalls()
 
@@ -136,7 +136,7 @@
     for _ in range(70):
         rig.run(0.1)
         rig.hear(OTHER)
-        rig.hear(THIRD, start=Start(1, 8))
+        rig.hear(THIRD, start=Incarnation(1, 8))
     assert rig.told[-1].share == pytest.approx(1 / 3)
 
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -26,8 +26,8 @@
 from petrelway.fakes.platform_peers import SETTINGS, configuration
 from petrelway.gateway import service as front_service
 from petrelway.gateway.service import FrontEndService
-from petrelway.membership import messages as words
-from petrelway.membership.messages import Kind, News, Start, State, Word, digest
+from petrelway.membership import messages
+from petrelway.membership.messages import Incarnation, MemberState, MemberUpdate, Message, MessageKind, digest
 from petrelway.node import service as node_service
 from petrelway.node.service import NodeService
 from petrelway.platform.configuration import read_told
@@ -76,17 +76,17 @@
         self.callLater(DIAL_ANSWER_S, factory.clientConnectionFailed, None, Failure(why))
 
     def sent(self):
-        return [words.read(data) for _, what, _, data in self.left if what == "send"]
+        return [messages.decode(data) for _, what, _, data in self.left if what == "send"]
 
 
 def drawn_news(random_source):
     """Of anybody, the reader too: alive, accused, failed or gone, of this process or an earlier one."""
     number = random_source.randrange(PLAN.size)
-    start = Start(
+    start = Incarnation(
         random_source.choice((1, 1, 1, 2, 3)), PLAN.token(number, random_source.choice((0, 0, 0, 1)))
     )
-    state = random_source.choices((State.ALIVE, State.SUSPECTED, State.FAILED, State.LEFT), (12, 4, 2, 1))[0]
-    return News(digest(PLAN.listed(number).name), start, state)
+    state = random_source.choices((MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT), (12, 4, 2, 1))[0]
+    return MemberUpdate(digest(PLAN.listed(number).name), start, state)
 
 
 def drawn_schedule(seed):
@@ -100,13 +100,13 @@
         if DAY_S / 2 < at < DAY_S / 2 + 8.0:
             continue
         number = random_source.choice([n for n in range(PLAN.size - 3) if n != ME])
-        kind = random_source.choices(list(Kind), (8, 8, 4, 2, 0.1))[0]
+        kind = random_source.choices(list(MessageKind), (8, 8, 4, 2, 0.1))[0]
         news = tuple(drawn_news(random_source) for _ in range(random_source.choice((0, 1, 16))))
-        word = Word(
-            kind, digest(FLEET_NAME), ids[number], Start(1, PLAN.token(number)), peers, random_source.randrange(4),
+        word = Message(
+            kind, digest(FLEET_NAME), ids[number], Incarnation(1, PLAN.token(number)), peers, random_source.randrange(4),
             random_source.randrange(1 << 31), random_source.choice(ids), news,
         )  # fmt: skip
-        data = words.write(word) if random_source.random() < 0.97 else random_source.randbytes(40)
+        data = messages.encode(word) if random_source.random() < 0.97 else random_source.randbytes(40)
         listed = PLAN.listed(number)
         schedule.append((at, data, (listed.address, listed.port)))
     return schedule
@@ -166,7 +166,7 @@
 def known_token(monkeypatch):
     """The system's own random source, which no test can hold, gives the plan's token."""
     for module in (front_service, node_service):
-        monkeypatch.setattr(module, "new_token", lambda: PLAN.token(ME))
+        monkeypatch.setattr(module, "new_incarnation_token", lambda: PLAN.token(ME))
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -177,8 +177,8 @@
     expected, found = play(real, ports, schedule), play(build, ports, schedule)
     assert found.left == expected.left
     kinds = Counter(word.kind for word in found.sent())
-    assert min(kinds[k] for k in (Kind.ASK, Kind.HERE, Kind.ASK_FOR_ME)) >= 10
-    assert {news.state for word in found.sent() for news in word.news} >= {State.ALIVE, State.SUSPECTED}
+    assert min(kinds[k] for k in (MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQUEST)) >= 10
+    assert {news.state for word in found.sent() for news in word.news} >= {MemberState.ALIVE, MemberState.SUSPECT}
     dialled = sum(what == "dial" for _, what, *_ in found.left)
     assert dialled >= 10 if ports else not dialled
 
--- a/tests/test_scale_members.py
+++ b/tests/test_scale_members.py
@@ -6,7 +6,7 @@
 from petrelway.capacity.slopes import read_slopes
 from petrelway.emulator.settled_membership import introduced_sea
 from petrelway.fakes.hollow_memory import informed_member_bytes
-from petrelway.membership.messages import CHECK, HEAD, NEWS, NEWS_MOST, State
+from petrelway.membership.messages import CHECKSUM, HEADER, MAX_UPDATES, MEMBER_UPDATE, MemberState
 
 SMALL = 48
 TIMES = 8
@@ -25,7 +25,7 @@
         sea.settle()
         sea.sim.run(sea.sim.now_s + SETTLE_S)
     found = sea.rates(REST_S, size)
-    assert all(len(p.members.by[State.ALIVE]) == size - 1 for p in sea.peers.values())
+    assert all(len(p.members.by_state[MemberState.ALIVE]) == size - 1 for p in sea.peers.values())
     return found
 
 
@@ -47,7 +47,7 @@
 
 def test_bytes_at_rest_do_not_grow_with_members(settled):
     small, large = settled
-    least = DATAGRAMS_A_SECOND * (HEAD.size + NEWS.size + CHECK.size)  # what is held of the reader goes along
+    least = DATAGRAMS_A_SECOND * (HEADER.size + MEMBER_UPDATE.size + CHECKSUM.size)  # what is held of the reader goes along
     assert small["bytes"] == pytest.approx(least, rel=ROUNDING)
     assert large["bytes"] <= small["bytes"] * (1.0 + ROUNDING)
 
@@ -67,7 +67,7 @@
         members = peer.members
         assert len(members.others) == SMALL - 1 and len(members.told) <= SMALL
         assert len(members.probes) <= 2 and not members.asked_for and not members.unlike
-        assert all(len(word.word.news) <= NEWS_MOST for word in members.out)
+        assert all(len(word.word.news) <= MAX_UPDATES for word in members.out)
 
 
 def test_memory_by_members_is_what_the_slope_says():
