--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -85,7 +85,10 @@
     id = sea.ids[vanished]
     found["vanished: s until all others hold it failed"] = [
         until(
-            sea, lambda: all(sea.peers[n].members.others[id].state is MemberState.DEAD for n in others), 0.1, 90.0
+            sea,
+            lambda: all(sea.peers[n].members.others[id].state is MemberState.DEAD for n in others),
+            0.1,
+            90.0,
         )
     ]
     sea.faults.clear(sea.now())
@@ -93,11 +96,14 @@
     sea.faults.add(NetworkFault("cut", side, every - side, sea.now(), sea.now() + 20_000.0))
     sea.sim.run(sea.sim.now_s + 20.0)
     alive = until(
-        sea, lambda: all(len(p.members.by_state[MemberState.ALIVE]) == size - 2 for p in sea.peers.values()), 0.25, 120.0
+        sea,
+        lambda: all(len(p.members.by_state[MemberState.ALIVE]) == size - 2 for p in sea.peers.values()),
+        0.25,
+        120.0,
     )
     found["cut of 20 s: s until all that live are alive to all"] = [alive]
     found["cut of 20 s: s until all views agree to the last start"] = [
-        alive + until(sea, lambda: len({p.members.view for p in sea.peers.values()}) == 1, 0.25, 120.0)
+        alive + until(sea, lambda: len({p.members.view_digest for p in sea.peers.values()}) == 1, 0.25, 120.0)
     ]
     return found
 
@@ -125,7 +131,7 @@
     for number, peer in sea.peers.items():
         for id, m in peer.members.others.items():
             if number == 0 and sea.numbers[id] not in some:
-                suspected += m.start.incarnation - 1  # it had to answer so often
+                suspected += m.incarnation.number - 1  # it had to answer so often
             if sea.numbers[id] not in some:
                 failed += sum(c.member == id and c.what == "failed" for c in peer.said)
     hours = 180.0 / 3600.0
--- a/petrelway/emulator/membership_simulation.py
+++ b/petrelway/emulator/membership_simulation.py
@@ -1,4 +1,4 @@
-"""Members in simulated time: the program's own `Members` and `Parts` around a faulty network, without
+"""Members in simulated time: the program's own `MembershipStateMachine` and `QuotaLeaseHolder` around a faulty network, without
 bytes."""
 
 from __future__ import annotations
@@ -39,23 +39,23 @@
 
     def note(self, kind: str, **what) -> None:
         if self.sea.record is not None:
-            self.sea.record.note(kind, _file=f"fleet-{self.number}-{self.members.start.token}", **what)
+            self.sea.record.note(kind, _file=f"fleet-{self.number}-{self.members.incarnation.token}", **what)
 
     def heard(self, sender: int, word: Message) -> None:
-        self.members.heard(self.sea.now(), sender, word)
+        self.members.receive(self.sea.now(), sender, word)
         self.pull()
 
     def _woken(self) -> None:
-        self.members.time_passed(self.sea.now())
+        self.members.wake_up()
         self.pull()
 
     def pull(self) -> None:
         now = self.sea.now()
         while (d := self.members.decide(now)) is not None:
-            if d.verb is ActionKind.WAKE:
+            if d.kind is ActionKind.WAKE:
                 if self.wake is not None and self.wake.active():
                     self.wake.cancel()
-                self.wake = self.process.callLater((d.ms - now) / 1e3, self._woken)
+                self.wake = self.process.callLater((d.at_ms - now) / 1e3, self._woken)
             else:
                 self.sea.carry_out(self, d)
         self._say(now)
@@ -63,16 +63,16 @@
     def _say(self, now: float) -> None:
         """The same words that a member on sockets notes, for the same judge."""
         members, before = self.members, self.held
-        held = self.held = self.parts.held(members, now)
+        held = self.held = self.parts.current(members, now)
         self.told(held.part)
-        while members.changes:
-            self.said.append(members.changes[0])
-            member, what, why = members.changes.popleft()
+        while members.events:
+            self.said.append(members.events[0])
+            member, what, why = members.events.popleft()
             number = self.sea.numbers[member] if member else self.number
             self.note("held", member=f"front-{number}", what=what, why=why)
         if self.sea.record is None:
             return
-        if (whole := members.whole(now)) is not self.whole:
+        if (whole := members.view_status(now)) is not self.whole:
             self.whole = whole
             self.note("whole", whole=whole.value)
         if before is None or before.part != held.part:
@@ -112,13 +112,13 @@
 
     def carry_out(self, peer: Peer, d: Action) -> None:
         to = self.numbers[d.member]
-        if d.verb is ActionKind.CHECK_PORT:
+        if d.kind is ActionKind.CHECK_PORT:
             self._try(peer, to)
             return
         self.counts["datagrams"] += 1
-        self.counts["bytes"] += len(encode(d.word))
+        self.counts["bytes"] += len(encode(d.message))
         for late_ms in self.faults.carry(self.now(), peer.number, to):
-            self.sim.later((self.way_ms + late_ms) / 1e3, self._arrive, peer.number, to, d.word)
+            self.sim.later((self.way_ms + late_ms) / 1e3, self._arrive, peer.number, to, d.message)
 
     def _arrive(self, sender: int, to: int, word: Message) -> None:
         if (peer := self.peers.get(to)) is not None:
@@ -142,5 +142,5 @@
         self.sim.later(there_ms / 1e3, there)
 
     def _refused(self, peer: Peer, to: int, began: float) -> None:
-        peer.members.tried(self.now(), self.ids[to], began, True)
+        peer.members.port_checked(self.now(), self.ids[to], began, True)
         peer.pull()
--- a/petrelway/emulator/quota_model.py
+++ b/petrelway/emulator/quota_model.py
@@ -1,7 +1,7 @@
 """A small system for the explorer: three front ends that try each other's ports, die, start again, stand
 still.
 
-Each move uses the program's own code (`Members.tried`, `Members.heard`, `Parts.held`, the module's
+Each move uses the program's own code (`MembershipStateMachine.port_checked` and `.receive`, `QuotaLeaseHolder.current`, the module's
 `Gate.share`); only what lies between the processes, and the moments, are the explorer's. Times are ms of each
 process's own clock, counted from now, cut off where they no longer matter: so the system has finitely many
 states."""
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from ..membership import quota_lease as parts
-from ..membership import swim as members
+from ..membership.member import PROOF_MS, is_proved_dead
 from ..membership.messages import Incarnation, MemberState, Message, MessageKind
 from ..membership.quota_lease import QuotaLeaseHolder
 from ..membership.swim import MembershipStateMachine
@@ -88,7 +88,7 @@
     for i, age in enumerate(one.proofs):
         if i != number:
             x = m.others[i + 1]
-            m._hold(x, Incarnation(1, 1), MemberState.ALIVE if age is None else MemberState.DEAD, NOW, "")
+            m.set_state(x, Incarnation(1, 1), MemberState.ALIVE if age is None else MemberState.DEAD, NOW, "")
             x.refused_ms = -math.inf if age is None else NOW - age
     return m, QuotaLeaseHolder(NOW - one.age, SIZE)
 
@@ -103,14 +103,16 @@
 def _learns(number: int, one: One, whose: int, age: float) -> One:
     """A try that began so long ago was refused."""
     m, p = _held(number, one)
-    m.tried(NOW, whose + 1, NOW - age, True)
+    m.port_checked(NOW, whose + 1, NOW - age, True)
     return _told(number, one, m, p)
 
 
 @cache
 def _hears(number: int, one: One, whom: int) -> One:
     m, p = _held(number, one)
-    m.heard(NOW, whom + 1, Message(MessageKind.ACK, 1, whom + 1, Incarnation(2, 1), m.peers, 0, 0, 0))
+    m.receive(
+        NOW, whom + 1, Message(MessageKind.ACK, 1, whom + 1, Incarnation(2, 1), m.peers_digest, 0, 0, 0)
+    )
     return _told(number, one, m, p)
 
 
@@ -121,9 +123,9 @@
 
 
 def _told(number: int, one: One, m: MembershipStateMachine, p: QuotaLeaseHolder) -> One:
-    part = p.held(m, NOW).part
+    part = p.current(m, NOW).part
     proofs = tuple(
-        None if i == number or not members.proved(m.others[i + 1], NOW) else NOW - m.others[i + 1].refused_ms
+        None if i == number or not is_proved_dead(m.others[i + 1], NOW) else NOW - m.others[i + 1].refused_ms
         for i in range(SIZE)
     )
     return one._replace(share=part.share, left=part.until_ms - NOW, proofs=proofs)
@@ -174,7 +176,7 @@
     for i, one in enumerate(system.ones):
         if one.doing != DEAD:
             step = STEP_MS * RATES[i]
-            proofs = tuple(None if a is None or a + step > members.PROOF_MS else a + step for a in one.proofs)
+            proofs = tuple(None if a is None or a + step > PROOF_MS else a + step for a in one.proofs)
             one = one._replace(age=min(one.age + step, parts.STARTUP_WAIT_MS), left=max(0.0, one.left - step))
             one = one._replace(proofs=proofs)
             if one.doing == RUNS:
@@ -183,6 +185,6 @@
     tries = frozenset(
         t._replace(age=t.age + STEP_MS * RATES[t.by])
         for t in system.tries
-        if t.age + STEP_MS * RATES[t.by] <= members.PROOF_MS + STEP_MS
+        if t.age + STEP_MS * RATES[t.by] <= PROOF_MS + STEP_MS
     )
     return system._replace(ones=tuple(ones), tries=tries)
--- a/petrelway/emulator/settled_membership.py
+++ b/petrelway/emulator/settled_membership.py
@@ -23,8 +23,8 @@
     watched_bytes = 0
 
     def carry_out(self, peer: Peer, d: Action) -> None:
-        if d.verb is ActionKind.SEND and self.watched in (peer.number, self.numbers[d.member]):
-            self.watched_bytes += len(encode(d.word))
+        if d.kind is ActionKind.SEND and self.watched in (peer.number, self.numbers[d.member]):
+            self.watched_bytes += len(encode(d.message))
         super().carry_out(peer, d)
 
     def settle(self) -> None:
@@ -45,9 +45,9 @@
     sea = CountedSea(World(), FaultSchedule(random.Random(seed)), size, seed)
     for number in range(size):
         sea.start(number)
-    starts = [sea.peers[number].members.start for number in range(size)]
+    starts = [sea.peers[number].members.incarnation for number in range(size)]
     for number, peer in sea.peers.items():
         sender = 0 if number else 1
-        for word in introductions(sea.ids, starts, sender, sea.fleet, peer.members.peers):
+        for word in introductions(sea.ids, starts, sender, sea.fleet, peer.members.peers_digest):
             peer.heard(sea.ids[sender], word)
     return sea
--- a/petrelway/fakes/hollow_members.py
+++ b/petrelway/fakes/hollow_members.py
@@ -1,6 +1,6 @@
 """Hollow members: many front ends' membership in one process, on loopback, with nothing behind it.
 
-A hollow member is the real shell (`FleetService`: real datagrams, the real `Members`) without a host, a
+A hollow member is the real shell (`MembershipService`: real datagrams, the real `MembershipStateMachine`) without a host, a
 client listener or requests. Others can't tell it from a front end. `hollow_process.py` runs a group of them
 as one process of a larger fleet; `benchmarks/capacity_members.py` measures with it.
 """
@@ -43,7 +43,7 @@
     """A whole fleet on loopback: member NUMBER (from 0) has an address of its own, and all have one port.
 
     >>> FleetPlan(size=300, network=77, port=20_000).listed(299)
-    Listed(name='127.77.1.44:20000', address='127.77.1.44', port=20000)
+    PeerAddress(name='127.77.1.44:20000', address='127.77.1.44', port=20000)
     """
 
     size: int
@@ -185,10 +185,10 @@
             ids[sender],
             starts[sender],
             peers_digest,
-            view=0,
-            number=0,
-            about=0,
-            news=tuple(news[first : first + MAX_UPDATES]),
+            view_digest=0,
+            sequence=0,
+            target=0,
+            updates=tuple(news[first : first + MAX_UPDATES]),
         )
         for first in range(0, len(news), MAX_UPDATES)
     ]
@@ -206,9 +206,9 @@
 def settle_view(members: MembershipStateMachine) -> None:
     """As if all news had been told, and everybody had been heard since: a fleet that starts as a whole comes
     there by itself after about a second a member."""
-    members.told.clear()
+    members.updates.transmissions.clear()
     for member in members.others.values():
-        member.view = members.view
+        member.view_digest = members.view_digest
 
 
 class Report(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -302,16 +302,16 @@
             cpu_s=time.process_time(),
             uptime_s=self._reactor.seconds() - self._began_s,
             traffic=self.traffic,
-            pauses=sum(view.stalls for view in views),
+            pauses=sum(view.pauses for view in views),
             lag_ms=lag_s * 1e3,
             alive_least=min(len(view.by_state[MemberState.ALIVE]) for view in views),
             failed_least=min(len(view.by_state[MemberState.DEAD]) for view in views),
             failed_most=max(len(view.by_state[MemberState.DEAD]) for view in views),
             suspected_most=max(len(view.by_state[MemberState.SUSPECT]) for view in views),
             unheard_most=max(len(view.by_state[MemberState.UNKNOWN]) for view in views),
-            untold_most=max(len(view.told) for view in views),
-            views=len({view.view for view in views}),
-            view=views[0].view,
+            untold_most=max(len(view.updates.transmissions) for view in views),
+            views=len({view.view_digest for view in views}),
+            view=views[0].view_digest,
         )
 
     def stop(self) -> defer.Deferred:
--- a/petrelway/gateway/service.py
+++ b/petrelway/gateway/service.py
@@ -175,7 +175,8 @@
             Terms(0, digest(document), (self.made, document)), document, self._made, self._adopted, self.log,
             self.note,
         )  # fmt: skip
-        self.fleet.door, self.fleet.versions = self.policy.door, self.policy.others_run
+        self.fleet.port_factory = self.policy.door
+        self.fleet.on_policy_version = self.policy.others_run
 
     def _made(self, document: str) -> tuple[Any, bool]:
         """All that taking requests under this document needs. Raises ValueError."""
--- a/petrelway/membership/__init__.py
+++ b/petrelway/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The front ends as one: who is there, and which part of the fleet's rations each may use."""
+"""Membership of front ends: who is there (SWIM), and which share of the fleet's quota each may use."""
--- a/petrelway/membership/messages.py
+++ b/petrelway/membership/messages.py
@@ -1,7 +1,8 @@
-"""A word between members as a datagram of 256 bytes at most, without I/O. Format: docs/fleet.md.
+"""Membership messages as datagrams of 256 bytes at most, without I/O. Format: docs/fleet.md.
 
-Numbers are unsigned and big-endian. A datagram is a head, news of members, sections that a later version may
-add (a reader passes over those that it does not know), and a CRC-32 of all before it.
+Numbers are unsigned and big-endian. A datagram is a header, member updates, sections that a later version may
+add (a reader skips those that it does not know), and a CRC-32 of everything before it. The state machine
+(`swim.py`) builds and receives `Message`; the service (`service.py`) calls `encode` and `decode`.
 """
 
 from __future__ import annotations
@@ -20,23 +21,28 @@
 CHECKSUM = struct.Struct(">I")
 POLICY_VERSION_SECTION = struct.Struct(">BBI")
 POLICY_VERSION_SECTION_TYPE = ord("t")
-MAX_UPDATES = (DATAGRAM_BOUND - HEADER.size - POLICY_VERSION_SECTION.size - CHECKSUM.size) // MEMBER_UPDATE.size
+POLICY_VERSION_BYTES = 4
+SECTION_HEADER_BYTES = 2  # type and length
+MAX_UPDATES = (
+    DATAGRAM_BOUND - HEADER.size - POLICY_VERSION_SECTION.size - CHECKSUM.size
+) // MEMBER_UPDATE.size
 
 
 class MessageKind(IntEnum):
-    """What a word asks or answers."""
+    """What a message asks or answers; the numbers are the wire's."""
 
-    PING = 1  # are you there? answered with HERE under the same number
+    PING = 1  # answered with ACK under the same sequence number
     ACK = 2
-    PING_REQUEST = 3  # ask the member `about`, and pass its answer on
-    INDIRECT_ACK = 4  # `about` has answered
+    PING_REQUEST = 3  # ping the member `target`, and pass its answer on
+    INDIRECT_ACK = 4  # `target` has answered
     LEAVE = 5  # the sender leaves, and uses nothing of the fleet's any more
 
 
 class MemberState(IntEnum):
-    """What a member is held for. In the order in which one outdoes another of the same start."""
+    """A member's state, in the order in which one overrides another of the same incarnation; the numbers are
+    the wire's."""
 
-    UNKNOWN = 0  # listed; nobody has heard it yet
+    UNKNOWN = 0  # listed, and not heard by anybody yet
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
@@ -54,42 +60,41 @@
 
 
 class Incarnation(NamedTuple):
-    """Which process of a member, and how often it has had to say that it is there; the later one is
-    greater."""
+    """Which process of a member, and how often it has refuted a suspicion; the later one is greater."""
 
-    incarnation: int
+    number: int
     token: int
 
 
 class MemberUpdate(NamedTuple):
-    """What the sender holds a member for."""
+    """The state that the sender believes a member to be in."""
 
     member: int
-    start: Incarnation
+    incarnation: Incarnation
     state: MemberState
 
 
 class Message(NamedTuple):
-    """One datagram. `peers` is a digest of the sender's list of peers, `view` one of its view."""
+    """One datagram. `peers_digest` is a digest of the sender's list of peers, `view_digest` of its view."""
 
     kind: MessageKind
     fleet: int
     sender: int
-    start: Incarnation
-    peers: int
-    view: int
-    number: int
-    about: int
-    news: tuple[MemberUpdate, ...] = ()
-    version: int = 0  # of the terms that the sender runs under; a section, left out where it is 0
+    incarnation: Incarnation
+    peers_digest: int
+    view_digest: int
+    sequence: int
+    target: int
+    updates: tuple[MemberUpdate, ...] = ()
+    policy_version: int = 0  # that the sender runs under; a section, left out where it is 0
 
 
 class MessageError(Exception):
-    """Bytes that are no word of ours; its text is a reason out of a few."""
+    """Bytes that are no membership message; the text is one of a few reasons, which are counted."""
 
 
 def digest(*names: str) -> int:
-    """A name, or names in their order, as 32 bits, the same everywhere.
+    """Hash a name, or names in their order, to 32 bits, the same in every process.
 
     >>> digest("front-1") == digest("front-1") != digest("front-2")
     True
@@ -97,70 +102,101 @@
     return int.from_bytes(blake2b("\n".join(names).encode(), digest_size=4).digest(), "big")
 
 
-def encode(word: Message) -> bytes:
-    """
-    >>> w = Word(Kind.ASK, 1, 2, Start(3, 4), 5, 6, 7, 0, (News(8, Start(9, 10), State.FAILED),))
-    >>> decode(encode(w)) == w, len(encode(w)) <= DATAGRAM_BOUND
+def encode(message: Message) -> bytes:
+    """Write a message as a datagram; updates past `MAX_UPDATES` are left out.
+
+    >>> update = MemberUpdate(8, Incarnation(9, 10), MemberState.DEAD)
+    >>> message = Message(MessageKind.PING, 1, 2, Incarnation(3, 4), 5, 6, 7, 0, (update,))
+    >>> decode(encode(message)) == message, len(encode(message)) <= DATAGRAM_BOUND
     (True, True)
     """
     parts = [
         HEADER.pack(
             MAGIC,
             VERSION,
-            word.kind,
-            word.fleet,
-            word.sender,
-            *word.start,
-            word.peers,
-            word.view,
-            word.number,
-            word.about,
-            len(word.news),
+            message.kind,
+            message.fleet,
+            message.sender,
+            *message.incarnation,
+            message.peers_digest,
+            message.view_digest,
+            message.sequence,
+            message.target,
+            len(message.updates),
         )
     ]
-    parts += [MEMBER_UPDATE.pack(n.member, *n.start, n.state) for n in word.news[:MAX_UPDATES]]
-    if word.version:
-        parts.append(POLICY_VERSION_SECTION.pack(POLICY_VERSION_SECTION_TYPE, 4, word.version))
+    for update in message.updates[:MAX_UPDATES]:
+        parts.append(MEMBER_UPDATE.pack(update.member, *update.incarnation, update.state))
+    if message.policy_version:
+        section = POLICY_VERSION_SECTION.pack(
+            POLICY_VERSION_SECTION_TYPE, POLICY_VERSION_BYTES, message.policy_version
+        )
+        parts.append(section)
     data = b"".join(parts)
     return data + CHECKSUM.pack(zlib.crc32(data))
 
 
 def decode(data: bytes) -> Message:
-    """Raises MessageError."""
-    if not HEADER.size + CHECKSUM.size <= len(data) <= DATAGRAM_BOUND:
-        raise MessageError("length")
-    body = data[: -CHECKSUM.size]
-    if data[:2] != MAGIC:
-        raise MessageError("mark")
-    if CHECKSUM.unpack(data[-CHECKSUM.size :])[0] != zlib.crc32(body):
-        raise MessageError("check")
-    _, version, kind, fleet, sender, incarnation, token, peers, view, number, about, count = HEADER.unpack_from(
-        body
+    """Read a datagram. Raises MessageError."""
+    body = _checked_body(data)
+    (_, version, kind, fleet, sender, number, token, peers_digest, view_digest, sequence, target, count) = (
+        HEADER.unpack_from(body)
     )
     if version != VERSION:
         raise MessageError("version")
-    if HEADER.size + count * MEMBER_UPDATE.size > len(body):
+    updates_end = HEADER.size + count * MEMBER_UPDATE.size
+    if updates_end > len(body):
         raise MessageError("news cut off")
     try:
-        news = tuple(
-            MemberUpdate(member, Incarnation(i, t), MemberState(state))
-            for member, i, t, state in MEMBER_UPDATE.iter_unpack(body[HEADER.size : HEADER.size + count * MEMBER_UPDATE.size])
+        updates = _decode_updates(body[HEADER.size : updates_end])
+        policy_version = _policy_version(body[updates_end:])
+        return Message(
+            MessageKind(kind),
+            fleet,
+            sender,
+            Incarnation(number, token),
+            peers_digest,
+            view_digest,
+            sequence,
+            target,
+            updates,
+            policy_version,
         )
-        version = _sections(body[HEADER.size + count * MEMBER_UPDATE.size :])
-        start = Incarnation(incarnation, token)
-        return Message(MessageKind(kind), fleet, sender, start, peers, view, number, about, news, version)
     except ValueError as error:
         raise MessageError("unknown kind or state") from error
 
 
-def _sections(data: bytes) -> int:
-    """Sections, each `name:1 length:1` and so many bytes: that of the terms; others, of later versions, are
-    passed over. Raises MessageError."""
-    at = version = 0
-    while at < len(data):
-        if at + 2 > len(data) or at + 2 + data[at + 1] > len(data):
+def _checked_body(data: bytes) -> bytes:
+    """The datagram without its checksum, after the checks that need no field. Raises MessageError."""
+    if not HEADER.size + CHECKSUM.size <= len(data) <= DATAGRAM_BOUND:
+        raise MessageError("length")
+    body = data[: -CHECKSUM.size]
+    if data[: len(MAGIC)] != MAGIC:
+        raise MessageError("mark")
+    if CHECKSUM.unpack(data[-CHECKSUM.size :])[0] != zlib.crc32(body):
+        raise MessageError("check")
+    return body
+
+
+def _decode_updates(data: bytes) -> tuple[MemberUpdate, ...]:
+    """Raises ValueError for an unknown state."""
+    return tuple(
+        MemberUpdate(member, Incarnation(number, token), MemberState(state))
+        for member, number, token, state in MEMBER_UPDATE.iter_unpack(data)
+    )
+
+
+def _policy_version(data: bytes) -> int:
+    """Read the sections, each `type:1 length:1` and so many bytes: the policy version's is returned, those of
+    later versions are skipped. Raises MessageError."""
+    position = 0
+    version = 0
+    while position < len(data):
+        value = position + SECTION_HEADER_BYTES
+        if value > len(data) or value + data[position + 1] > len(data):
             raise MessageError("section cut off")
-        if data[at] == POLICY_VERSION_SECTION_TYPE and data[at + 1] == 4:
-            version = int.from_bytes(data[at + 2 : at + 6], "big")
-        at += 2 + data[at + 1]
+        length = data[position + 1]
+        if data[position] == POLICY_VERSION_SECTION_TYPE and length == POLICY_VERSION_BYTES:
+            version = int.from_bytes(data[value : value + length], "big")
+        position = value + length
     return version
--- a/petrelway/membership/service.py
+++ b/petrelway/membership/service.py
@@ -1,8 +1,9 @@
 """Membership on sockets: datagrams to the peers, and a port that refuses once the process is gone.
 
-Only I/O stands here; what is believed and what follows from it is in members.py and parts.py. The port is
-listened on before anything of the fleet's is used and closed after the last use: that a refusal proves the
-process gone rests on it."""
+The service carries out what the state machine (`swim.py`) decides and reports the quota lease
+(`quota_lease.py`) to the front end. Its port is listened on before anything of the fleet's is used and closed
+after the last use: that a refusal proves the process gone rests on it.
+"""
 
 from __future__ import annotations
 
@@ -19,81 +20,43 @@
 from ..routing.types import Part
 from ..sockets.datagrams import listen_udp
 from ..sockets.listening import listen_tcp
-from .messages import MEMBER_STATE_LABELS, Incarnation, MemberState, MessageError, decode, digest, encode
+from .messages import MessageError, decode, digest, encode
+from .port_checks import PortCheckedFactory, PortCheckFactory
 from .quota_lease import QuotaLease, QuotaLeaseHolder
-from .swim import ActionKind, MembershipStateMachine, ViewStatus
+from .report import members_report
+from .swim import Action, ActionKind, MemberEvent, MembershipStateMachine, ViewStatus
 
-DIAL_S = 2.0  # a try that has not ended by then says nothing
-BACKLOG = 512  # connections that wait in the system's queue
-MAX_PORT_CONNECTIONS = 64  # connections at the port at a time; more are closed at once
-CALLER_S = 5.0  # and each is closed after this time
-REASONS_BOUND = 32  # reasons for dropped datagrams that are logged
+PORT_CHECK_TIMEOUT_S = 2.0  # a check that has not ended by then says nothing
+LISTEN_BACKLOG = 512  # connections that wait in the system's queue
+MAX_LOGGED_REASONS = 32  # reasons for dropped datagrams that are logged
+LOG_LEVELS = {"stood still": "warning", "two processes": "error", "yielded": "error", "failed": "warning"}
 
 
 def new_incarnation_token() -> int:
+    """Draw the token of a new process, never 0."""
     return secrets.randbelow((1 << 32) - 1) + 1
 
 
 class PeerAddress(NamedTuple):
-    """A line of the list of peers."""
+    """An entry of the list of peers."""
 
     name: str
     address: str
     port: int
 
 
-class PortCheckedProtocol(protocol.Protocol):
-    """Somebody looks whether this process is there. Nothing is said."""
-
-    def connectionMade(self) -> None:
-        self.factory.callers += 1
-        if self.factory.callers > MAX_PORT_CONNECTIONS:
-            self.transport.abortConnection()
-        else:
-            self.timer = self.factory.reactor.callLater(CALLER_S, self.transport.abortConnection)
-
-    timer = None
-
-    def connectionLost(self, reason=protocol.connectionDone) -> None:
-        self.factory.callers -= 1
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
-
-
-class PortCheckedFactory(protocol.Factory):
-    noisy, protocol = False, PortCheckedProtocol
-
-    def __init__(self, reactor) -> None:
-        self.reactor, self.callers = reactor, 0
-
-
-class PortCheckFactory(protocol.ClientFactory):
-    """One try of a peer's port."""
-
-    noisy = False
-
-    def __init__(self, done: Callable[[bool], None]) -> None:
-        self.done = done
-
-    def buildProtocol(self, address):
-        made = protocol.Protocol()
-        made.connectionMade = lambda: made.transport.abortConnection()
-        self.done(False)
-        return made
-
-    def clientConnectionFailed(self, connector, reason) -> None:
-        """Danger: silence, a reset or a missing way are no proof; only a refusal is."""
-        self.done(bool(reason.check(error.ConnectionRefusedError)))
-
-
 class MembershipDatagramProtocol(protocol.DatagramProtocol):
+    """Hands each datagram that arrives on."""
+
     noisy = False
 
-    def __init__(self, came: Callable[[bytes, tuple[str, int]], None]) -> None:
-        self.came = came
+    def __init__(self, received: Callable[[bytes, tuple[str, int]], None]) -> None:
+        """`received` is called with each datagram and its sender's address."""
+        self.received = received
 
     def datagramReceived(self, data: bytes, address: tuple[str, int]) -> None:
-        self.came(data, address)
+        """Hand the datagram on with its sender's address."""
+        self.received(data, address)
 
 
 class MembershipService(service.Service):
@@ -108,187 +71,186 @@
         token: int,
         random_source: random.Random,
         log,
-        told: Callable[[Part], None] | None,
-        note: Callable[..., Any] | None = None,
+        on_quota: Callable[[Part], None] | None,
+        record: Callable[..., Any] | None = None,
     ) -> None:
-        """`token` from the system's own chance: the same under the same name would make two processes one.
-        `told` hears the part after each turn; None where no port may be listened on or tried: then nobody
-        is proved dead, and every part is the own share. `note` writes a rehearsal's record."""
-        self.reactor, self.me, self.fleet = reactor, me, fleet
-        self.token, self.random_source = token, random_source
-        self.log, self.told, self.note = log, told, note
-        self.peers = {digest(p.name): p for p in peers if p.name != me.name}
-        self.at = {(p.address, p.port): id for id, p in self.peers.items()}
+        """`token` comes from the system's own random source: the same under the same name would make two
+        processes one. `on_quota` is called with the share after each turn; None where no port may be listened
+        on or checked: then nobody is proved dead, and the share stays 1/n. `record` writes a scenario's
+        record."""
+        self.reactor = reactor
+        self.me = me
+        self.fleet = fleet
+        self.token = token
+        self.random_source = random_source
+        self.log = log
+        self.on_quota = on_quota
+        self.record = record
+        self.peers = {digest(peer.name): peer for peer in peers if peer.name != me.name}
+        self.ids_by_address = {(peer.address, peer.port): id for id, peer in self.peers.items()}
         self.counts: Counter[str] = Counter()
-        self.tcp = self.udp = self.wake = None
-        self.whole: ViewStatus | None = None
-        self.held: QuotaLease | None = None
-        self.door: protocol.Factory | None = None  # who hears connections at the port, where words come by it
-        self.versions: Callable[[int], None] = lambda version: None  # hears which terms others run under
+        self.tcp_port = None
+        self.udp_port = None
+        self.wake_timer = None
+        self.view_status: ViewStatus | None = None
+        self.lease: QuotaLease | None = None
+        self.port_factory: protocol.Factory | None = (
+            None  # in place of the silent one, where policy uses the port
+        )
+        self.on_policy_version: Callable[[int], None] = lambda version: (
+            None
+        )  # which versions others run under
 
     def now(self) -> float:
+        """Time in ms."""
         return self.reactor.seconds() * 1e3
 
     def startService(self) -> None:
-        """Raises twisted.internet.error.CannotListenError if the port is taken."""
-        if self.told is not None:
-            callers = self.door or PortCheckedFactory(self.reactor)
-            self.tcp = listen_tcp(self.reactor, self.me.port, callers, BACKLOG, self.me.address, self.log)
-        self.datagrams = MembershipDatagramProtocol(self._came)
+        """Listen and begin. Raises twisted.internet.error.CannotListenError if the port is taken."""
+        if self.on_quota is not None:
+            factory = self.port_factory or PortCheckedFactory(self.reactor)
+            self.tcp_port = listen_tcp(
+                self.reactor, self.me.port, factory, LISTEN_BACKLOG, self.me.address, self.log
+            )
+        self.datagrams = MembershipDatagramProtocol(self._received)
         try:
-            self.udp = listen_udp(self.reactor, self.me.port, self.datagrams, self.me.address)
+            self.udp_port = listen_udp(self.reactor, self.me.port, self.datagrams, self.me.address)
         except error.CannotListenError:
-            if self.tcp is not None:
-                self.tcp.stopListening()
+            if self.tcp_port is not None:
+                self.tcp_port.stopListening()
             raise
         now = self.now()
-        me, fleet = digest(self.me.name), digest(self.fleet)
-        self.members = MembershipStateMachine(now, me, self.token, fleet, list(self.peers), self.random_source)
-        self.parts = QuotaLeaseHolder(now, len(self.peers) + 1)
+        self.members = MembershipStateMachine(
+            now, digest(self.me.name), self.token, digest(self.fleet), list(self.peers), self.random_source
+        )
+        self.lease_holder = QuotaLeaseHolder(now, len(self.peers) + 1)
         super().startService()
-        self._turn()
+        self._take_turn()
+
+    def stopService(self):
+        """Leave, after the last use of the quota."""
+        super().stopService()
+        self.announce_leave()
+        if self.wake_timer is not None and self.wake_timer.active():
+            self.wake_timer.cancel()
+        self.udp_port.stopListening()
+        return self.tcp_port.stopListening() if self.tcp_port is not None else None
+
+    def announce_leave(self) -> None:
+        """Say that this process uses its quota no more; only then may the port refuse."""
+        for action in self.members.leave():
+            self._send(action)
+
+    # -- datagrams and timers
 
-    def _came(self, data: bytes, address: tuple[str, int]) -> None:
-        sender = self.at.get(address)
+    def _received(self, data: bytes, address: tuple[str, int]) -> None:
+        sender = self.ids_by_address.get(address)
         try:
             if sender is None:
                 raise MessageError("no peer's address")
-            word = decode(data)
+            message = decode(data)
         except MessageError as fault:
             self._dropped(str(fault), address)
             return
-        self.members.heard(self.now(), sender, word)
-        self._turn()
-        if word.version:
-            self.versions(word.version)
+        self.members.receive(self.now(), sender, message)
+        self._take_turn()
+        if message.policy_version:
+            self.on_policy_version(message.policy_version)
 
     def _dropped(self, why: str, address: tuple[str, int]) -> None:
         self.counts[why] += 1
-        if self.counts[why] == 1 and len(self.counts) <= REASONS_BOUND:
+        if self.counts[why] == 1 and len(self.counts) <= MAX_LOGGED_REASONS:
             self.log.warning("datagram dropped", why=why, address="{}:{}".format(*address))
 
     def _woken(self) -> None:
-        self.members.time_passed(self.now())
-        self._turn()
+        self.members.wake_up()
+        self._take_turn()
 
-    def _turn(self) -> None:
-        """Pull decisions until there is none, then tell what follows."""
+    def _take_turn(self) -> None:
+        """Carry out actions until there is none, then report what follows."""
         now = self.now()
-        while (d := self.members.decide(now)) is not None:
-            if d.verb is ActionKind.SEND:
-                self._send(d)
-            elif d.verb is ActionKind.CHECK_PORT:
-                if self.told is not None:
-                    self._try(d.member, now)
+        while (action := self.members.decide(now)) is not None:
+            if action.kind is ActionKind.SEND:
+                self._send(action)
+            elif action.kind is ActionKind.CHECK_PORT:
+                if self.on_quota is not None:
+                    self._check_port(action.member, now)
             else:
-                if self.wake is not None and self.wake.active():
-                    self.wake.cancel()
-                self.wake = self.reactor.callLater(max(0.0, d.ms - now) / 1e3, self._woken)
-        held = self.parts.held(self.members, now)
-        if self.told is not None:
-            self.told(held.part)
-        self._say(now, held)
-
-    def _send(self, decision) -> None:
-        peer = self.peers[decision.member]
+                self._wake_at(action.at_ms, now)
+        lease = self.lease_holder.current(self.members, now)
+        if self.on_quota is not None:
+            self.on_quota(lease.part)
+        self._report_events()
+        self._report_view_status(now)
+        self._report_lease(now, lease)
+
+    def _wake_at(self, at_ms: float, now: float) -> None:
+        if self.wake_timer is not None and self.wake_timer.active():
+            self.wake_timer.cancel()
+        self.wake_timer = self.reactor.callLater(max(0.0, at_ms - now) / 1e3, self._woken)
+
+    def _send(self, action: Action) -> None:
+        peer = self.peers[action.member]
         try:
-            self.datagrams.transport.write(encode(decision.word), (peer.address, peer.port))
-        except OSError as problem:  # no way there at this moment: as if it were lost
+            self.datagrams.transport.write(encode(action.message), (peer.address, peer.port))
+        except OSError as problem:  # no route at this moment: as if it were lost
             self._dropped(f"not sent: {problem.strerror}", (peer.address, peer.port))
 
-    def _try(self, member: int, began_ms: float) -> None:
+    def _check_port(self, member: int, began_ms: float) -> None:
         peer = self.peers[member]
 
         def done(refused: bool) -> None:
             if self.running:
-                self.members.tried(self.now(), member, began_ms, refused)
-                self._turn()
-
-        self.reactor.connectTCP(peer.address, peer.port, PortCheckFactory(done), timeout=DIAL_S)
-
-    # -- what is said
-
-    def _say(self, now: float, held: QuotaLease) -> None:
-        """One event a change."""
-        while self.members.changes:
-            member, what, why = self.members.changes.popleft()
-            name = self.peers[member].name if member else self.me.name
-            loud = {
-                "stood still": "warning",
-                "two processes": "error",
-                "yielded": "error",
-                "failed": "warning",
-            }
-            getattr(self.log, loud.get(what, "info"))(f"member {what}", member=name, why=why)
-            if self.note is not None:
-                self.note("held", member=name, what=what, why=why)
-        whole = self.members.whole(now)
-        if whole is not self.whole:
-            self.log.info("fleet " + whole.value, before=self.whole.value if self.whole else "")
-            if self.note is not None:
-                self.note("whole", whole=whole.value)
-        before, self.whole, self.held = self.held, whole, held
-        if before is None or (before.part.share, before.why) != (held.part.share, held.why):
-            self.log.info("part held", share=round(held.part.share, 4), why=held.why, dead=held.dead)
-        if self.note is not None and (before is None or before.part != held.part):
-            left = round(held.part.until_ms - now, 3) if held.part.until_ms < math.inf else None
-            self.note("part", share=held.part.share, left=left, dead=held.dead)
+                self.members.port_checked(self.now(), member, began_ms, refused)
+                self._take_turn()
+
+        self.reactor.connectTCP(peer.address, peer.port, PortCheckFactory(done), timeout=PORT_CHECK_TIMEOUT_S)
+
+    # -- logs, records and reports
+
+    def _report_events(self) -> None:
+        while self.members.events:
+            self._report_event(self.members.events.popleft())
+
+    def _report_event(self, event: MemberEvent) -> None:
+        name = self.peers[event.member].name if event.member else self.me.name
+        write_log = getattr(self.log, LOG_LEVELS.get(event.what, "info"))
+        write_log(f"member {event.what}", member=name, why=event.why)
+        if self.record is not None:
+            self.record("held", member=name, what=event.what, why=event.why)
+
+    def _report_view_status(self, now: float) -> None:
+        status = self.members.view_status(now)
+        if status is not self.view_status:
+            before = self.view_status.value if self.view_status else ""
+            self.log.info("fleet " + status.value, before=before)
+            if self.record is not None:
+                self.record("whole", whole=status.value)
+        self.view_status = status
+
+    def _report_lease(self, now: float, lease: QuotaLease) -> None:
+        before = self.lease
+        self.lease = lease
+        part = lease.part
+        if before is None or (before.part.share, before.reason) != (part.share, lease.reason):
+            self.log.info("quota lease", share=round(part.share, 4), why=lease.reason, dead=lease.dead)
+        if self.record is not None and (before is None or before.part != part):
+            left_ms = round(part.until_ms - now, 3) if part.until_ms < math.inf else None
+            self.record("part", share=part.share, left=left_ms, dead=lease.dead)
 
     def figures(self) -> dict[str, int]:
-        """Words told and heard, and what was dropped by reason, since the start."""
+        """Messages sent and received, and datagrams dropped by reason, since the start."""
         return dict(sorted((self.members.counts + self.counts).items()))
 
     def members_seen(self) -> dict[str, Any]:
-        """For operators; spans in s."""
-        now, m = self.now(), self.members
-        rows = [_row(self.me.name, "this one", now - m.began_ms, 0.0, m.start, "itself")]
-        rows[0]["terms"] = m.version
-        for id, peer in sorted(self.peers.items(), key=lambda item: item[1].name):
-            x = m.others[id]
-            heard_ms = now - x.heard_ms
-            rows.append(_row(peer.name, MEMBER_STATE_LABELS[x.state], now - x.since_ms, heard_ms, x.start, x.why))
-            rows[-1]["terms"] = x.version
-        held, size = self.held, self.parts.size
-        left_ms = held.part.until_ms - now
-        return {
-            "fleet": self.fleet,
-            "whole": m.whole(now).value,
-            "view": f"{m.view:08x}",
-            "share": round(held.part.share, 4),
-            "own share": round(1.0 / size, 4),
-            "share until s": round(left_ms / 1e3, 1) if left_ms < math.inf else None,
-            "why": held.why,
-            "stands for dead": held.dead,
-            "stood still": m.stalls,
-            "own health": m.health,
-            "alive": 1 + sum(x.state is MemberState.ALIVE for x in m.others.values()),
-            "counts": self.figures(),
-            "rows": rows,
-        }
-
-    # -- the end
-
-    def leaving(self) -> None:
-        """What this process held is used no more: say so, and only then let the port refuse."""
-        for d in self.members.leave():
-            self._send(d)
-
-    def stopService(self):
-        """After the last use of the part."""
-        super().stopService()
-        self.leaving()
-        if self.wake is not None and self.wake.active():
-            self.wake.cancel()
-        self.udp.stopListening()
-        return self.tcp.stopListening() if self.tcp is not None else None
-
-
-def _row(name: str, state: str, since_ms: float, heard_ms: float, start: Incarnation, why: str) -> dict[str, Any]:
-    return {
-        "member": name,
-        "state": state,
-        "since s": round(since_ms / 1e3, 1),
-        "heard s ago": round(heard_ms / 1e3, 1) if heard_ms < math.inf else None,
-        "start": f"{start.incarnation}.{start.token:08x}",
-        "known by": why,
-    }
+        """The members page for operators; spans in s."""
+        return members_report(
+            self.now(),
+            self.me.name,
+            self.fleet,
+            self.peers,
+            self.members,
+            self.lease,
+            self.lease_holder.size,
+            self.figures(),
+        )
--- a/petrelway/membership/swim.py
+++ b/petrelway/membership/swim.py
@@ -1,8 +1,10 @@
-"""Who is there, pure: SWIM with suspicion, starts, and Lifeguard's local health; clock and chance handed in.
+"""The membership state machine: SWIM with suspicion, incarnations, and Lifeguard's local health, without I/O.
 
-How to call it: tell it what happens (`heard`, `tried`), then call `decide(now)` until it gives None and carry
-each decision out. Times are ms of a clock that never steps back. The table of states is in docs/fleet.md;
-sources: Das, Gupta and Motivala 2002 (SWIM), Dadgar, Phillips and Currey 2017 (Lifeguard)."""
+How to call it: report what happens (`receive`, `port_checked`, `wake_up`), then call `decide(now)` until it
+gives None and carry each action out; `service.py` does so on sockets. The clock (ms, never stepping back) and
+the random source are handed in. The table of states is in docs/fleet.md; sources: Das, Gupta and Motivala
+2002 (SWIM), Dadgar, Phillips and Currey 2017 (Lifeguard).
+"""
 
 from __future__ import annotations
 
@@ -12,10 +14,10 @@
 from enum import Enum
 from typing import NamedTuple
 
+from .dissemination import UpdateQueue
+from .member import Member, MemberTable, is_proved_dead
 from .messages import (
-    MAX_UPDATES,
     MEMBER_STATE_LABELS,
-    MEMBER_UPDATE,
     Incarnation,
     MemberState,
     MemberUpdate,
@@ -23,472 +25,458 @@
     MessageKind,
     digest,
 )
+from .probing import (
+    ACK_TIMEOUT_MS,
+    INDIRECT_PROBES,
+    ISOLATED_AFTER_MS,
+    MAX_RELAYED_PROBES,
+    PROBE_PERIOD_MS,
+    PROBE_TIMEOUT_MS,
+    TICK_MS,
+    PortChecks,
+    Probe,
+    Probes,
+)
+from .suspicion import RECENTLY_HEARD_MS, LocalHealth, SuspicionTimeouts, confirm
 
-TICK_MS = 100.0  # it looks at its clock this often, so that it notices when it stood still
-PERIOD_MS = 1000.0  # one member is asked in this time
-ACK_MS = 500.0  # an ask without an answer by then: others are asked to ask, and its port is tried ...
-PROBE_MS = 2000.0  # ... and without any by then it is suspected
-HELPERS = 3  # that are asked to ask
-SUSPECT_MS = 3000.0  # a suspicion that enough others share lasts this, times log10 of the members ...
-SUSPECT_MOST = 3.0  # ... and one that nobody shares so many times that
-LAST_ASKS = 2  # after a suspicion's time it is asked so often before it is failed
-SHARED_BY = 3  # others that share it, for the shortest
-RECENTLY_HEARD_MS = 3000.0  # one heard so lately is not failed on another's word
-HEALTH_MOST = 8  # own time-outs grow by one for each ask that failed, each accusation and each stall
-STALL_MS = 400.0  # a turn that comes this late: this process itself stood still
-ALONE_MS = 5000.0  # nobody heard for so long: cut off
-DOUBT_MS = 3000.0  # after a stall or an accusation it doubts its own view for this time
-UNKNOWN_PROBES_PER_PERIOD = 8  # asks a period to those unheard yet; one a period to those failed
-HEALED_MS = 5000.0  # after one held failed was heard again the others are knocked at like those unheard
-TRIES_PER_S = 60.0  # ports tried, whatever the number of members: so many dead times PROOF_MS can be known
-TRY_AGAIN_MS = 1500.0  # the same port not more often than this
-SWEEP_MS = 4000.0  # after a refusal every port of one not heard is tried for this time: many may have died
-TOLD_TIMES = 3.0  # news is told so often, times log2 of the members
-ASKED_FOR_BOUND = 64  # asks for others at a time
-STEP = 4096  # a new process starts so far above an earlier one, which had fewer accusations to answer
+PAUSE_MS = 400.0  # a turn that comes this late: this process itself was paused
+UNCERTAIN_MS = 3000.0  # after a pause or a refuted suspicion the own view is uncertain for this time
+EXTRA_PROBES_PER_PERIOD = 8  # pings to unknown members, and final pings to suspects
+RECOVERY_MS = 5000.0  # after a dead member was heard again the others are probed like unknown ones
+INCARNATION_STEP = 4096  # a new process starts so far above an earlier one, which refuted fewer suspicions
 MAX_CONFLICTING_PROCESSES = 16  # other processes under the own name that are remembered
-REFUSED = "its port refuses: the process is gone"
-CHANGES_BOUND = 256  # changes that wait to be said
+MAX_INCARNATION = 0xFFFFFFFF  # of 32 bits on the wire
+MAX_EVENTS = 256  # that wait to be logged
+PORT_REFUSED = "its port refuses: the process is gone"
 
 
 class ViewStatus(Enum):
-    """What the view is worth."""
+    """How far a view can be relied on; the values are an outside form (records, members page)."""
 
     COMPLETE = "whole"  # each listed member is alive, has left, or is proved dead
-    UNCERTAIN = "in doubt"  # of some it can't be told, or this member doubts itself
+    UNCERTAIN = "in doubt"  # some member's state can't be told, or this member doubts itself
     ISOLATED = "cut off"  # nobody is heard
 
 
 class ActionKind(Enum):
-    SEND = "tell"  # send `word` to `member`
-    CHECK_PORT = "try"  # dial the member's port and say whether it was refused
-    WAKE = "wake"  # call again at `ms`
+    """What the caller is to do."""
+
+    SEND = "send"  # `message` to `member`
+    CHECK_PORT = "check port"  # connect to the member's port and report whether it was refused
+    WAKE = "wake"  # call again at `at_ms`
 
 
 class Action(NamedTuple):
-    verb: ActionKind
+    """One thing for the caller to carry out."""
+
+    kind: ActionKind
     member: int = 0
-    word: Message | None = None
-    ms: float = 0.0
+    message: Message | None = None
+    at_ms: float = 0.0
 
 
 class MemberEvent(NamedTuple):
-    """Something changed for an operator; `member` 0 for this one itself."""
+    """Something changed that operators read of; `member` is 0 for this one itself."""
 
     member: int
     what: str
     why: str
 
 
-class Member:
-    """What is known of one listed peer."""
-
-    def __init__(self, id: int, now: float) -> None:
-        self.id, self.start, self.state, self.since_ms = id, Incarnation(0, 0), MemberState.UNKNOWN, now
-        self.heard_ms = self.refused_ms = self.tried_ms = -math.inf
-        self.suspect(now)
-        self.view = 0  # the digest of its view, as last heard
-        self.version = 0  # of the terms that it runs under, as last heard
-        self.why = ""
-
-    def suspect(self, now: float) -> None:
-        """A suspicion begins: who shares it, when it was first asked since, how often it is at the end."""
-        self.begun_ms, self.confirmers, self.asked_ms, self.asks_left = now, set[int](), math.inf, LAST_ASKS
-
-
-class Probe:
-    """One ask that waits for its answer."""
-
-    def __init__(self, member: Member, began_ms: float) -> None:
-        self.member, self.began_ms, self.helped = member, began_ms, False
-
-
 class MembershipStateMachine:
     """One member's view of all."""
 
     def __init__(
-        self, now: float, me: int, token: int, fleet: int, peers: list[int], random_source: random.Random
+        self, now: float, own_id: int, token: int, fleet: int, peers: list[int], random_source: random.Random
     ) -> None:
         """`peers` are the others' ids. `token` names this process among all that ever had its name."""
-        self.me, self.start, self.fleet, self.random_source = me, Incarnation(1, token), fleet, random_source
-        self.others = {id: Member(id, now) for id in sorted(peers)}
-        self.ids = list(self.others)
-        # danger: looked through ten times a second, a thousand members would cost more than their words
-        self.by_state: dict[MemberState, dict[int, Member]] = {state: {} for state in MemberState}
-        self.by_state[MemberState.UNKNOWN].update(self.others)
-        self.unlike: set[int] = set()  # members that have another list of peers
-        self.peers = digest(*map(str, sorted([me, *peers])))
-        self.view = 0
-        for m in self.others.values():
-            self.view ^= _digest(m.id, m.start, m.state)
-        self.view ^= _digest(me, self.start, MemberState.ALIVE)
-        size = len(peers) + 1
-        self.suspect_ms = SUSPECT_MS * max(1.0, math.log10(size))
-        self.told_times = math.ceil(TOLD_TIMES * math.log2(size + 1))
-        self.began_ms = self.turned_ms = self.period_ms = now
-        self.last_heard_ms = self.accused_ms = self.stalled_ms = self.swept_ms = self.healed_ms = -math.inf
-        self.health = self.stalls = 0
-        self.spare = UNKNOWN_PROBES_PER_PERIOD  # last asks left in this period
-        self.version = 0  # of the terms that this one runs under, as the host tells it
+        self.own_id = own_id
+        self.fleet = fleet
+        self.random_source = random_source
+        self.incarnation = Incarnation(1, token)
+        self.policy_version = 0  # that this member runs under, as the host sets it
+        self.peers_digest = digest(*map(str, sorted([own_id, *peers])))
+        self.table = MemberTable(now, own_id, self.incarnation, peers)
+        self.others = self.table.others
+        self.by_state = self.table.by_state
+        self.updates = UpdateQueue(self.table)
+        self.suspicions = SuspicionTimeouts(len(peers) + 1)
+        self.health = LocalHealth()
+        self.probes = Probes(self.table, random_source)
+        self.port_checks = PortChecks(self.table, now)
+        self.other_peer_lists: set[int] = set()  # members that have another list of peers
         self.yielded = False  # another process has this name, and keeps it
-        self.overs: dict[int, int] = {}  # token of another process under this name -> incarnation outdone
-        self.number = random_source.randrange(1 << 31)
-        self.probes: dict[int, Probe] = {}  # by the ask's number
-        # asks for others, by our number: who asked, its number, whom, until when
-        self.asked_for: dict[int, tuple[int, int, int, float]] = {}
-        self.told: dict[int, int] = {}  # news of these members -> how often told
-        self.turn: list[int] = []  # whom to ask next
-        self.cursor = 0
-        self.room = 1.0  # tries that are earned
-        self.due_ms, self.waking = -math.inf, False  # when to look next, and whether the host knows
-        self.out: deque[Action] = deque()
-        self.changes: deque[MemberEvent] = deque(maxlen=CHANGES_BOUND)
+        self.overridden: dict[
+            int, int
+        ] = {}  # token of another process of this name -> incarnation overridden
+        self.pauses = 0
+        self.final_pings_left = EXTRA_PROBES_PER_PERIOD
+        self.began_ms = now
+        self.last_turn_ms = now
+        self.next_period_ms = now
+        self.last_heard_ms = -math.inf
+        self.last_refuted_ms = -math.inf
+        self.last_pause_ms = -math.inf
+        self.last_recovered_ms = -math.inf
+        self.next_tick_ms = -math.inf
+        self.wake_requested = False  # whether the caller knows of the next tick
+        self.actions: deque[Action] = deque()
+        self.events: deque[MemberEvent] = deque(maxlen=MAX_EVENTS)
         self.counts: Counter[str] = Counter()
 
+    @property
+    def view_digest(self) -> int:
+        """A digest of the whole view: equal views have equal ones."""
+        return self.table.view_digest
+
     # -- inputs
 
-    def heard(self, now: float, sender: int, word: Message) -> None:
-        """A word came from the address of the listed member `sender`."""
-        self._turned(now)
-        m = self.others.get(sender)
-        if m is None or word.fleet != self.fleet or word.sender != sender:
-            self.counts[
-                "another fleet" if m is not None and word.sender == sender else "no peer's address"
-            ] += 1
+    def receive(self, now: float, sender: int, message: Message) -> None:
+        """Handle a message that came from the address of the listed member `sender`."""
+        self._begin_turn(now)
+        member = self.others.get(sender)
+        if member is None or message.sender != sender:
+            self.counts["no peer's address"] += 1
+            return
+        if message.fleet != self.fleet:
+            self.counts["another fleet"] += 1
             return
-        if word.start < m.start:  # a late word, or a process that does not know of an earlier one of its name
+        if message.incarnation < member.incarnation:
+            # a late message, or a process that does not know of an earlier one of its name
             self.counts["older start"] += 1
-            if word.kind is MessageKind.PING:
-                self._tell(MessageKind.ACK, m, word.number)
+            if message.kind is MessageKind.PING:
+                self._send(MessageKind.ACK, member, message.sequence)
             return
         self.counts["heard"] += 1
-        m.heard_ms = self.last_heard_ms = now
-        m.refused_ms = -math.inf  # it is there: what was proved is over
-        m.view, m.version = word.view, word.version
-        if word.peers == self.peers:
-            self.unlike.discard(sender)
-        else:
-            self.unlike.add(sender)
-        if word.kind is MessageKind.LEAVE:
-            self._hold(m, word.start, MemberState.LEFT, now, "said that it leaves")
+        self._note_heard(now, member, message)
+        if message.kind is MessageKind.LEAVE:
+            self.set_state(member, message.incarnation, MemberState.LEFT, now, "said that it leaves")
             return
-        if word.start > m.start or m.state is MemberState.UNKNOWN:
-            if m.state is MemberState.DEAD:
-                self.healed_ms = now  # so others may be there too
-            again = m.start.token not in (0, word.start.token)
-            self._hold(m, word.start, MemberState.ALIVE, now, "started again" if again else "heard")
-        for news in word.news:
-            self._news(news, m, now)
-        if word.kind is MessageKind.PING:
-            self._tell(MessageKind.ACK, m, word.number)
-        elif word.kind is MessageKind.PING_REQUEST:
-            self._ask_for(m, word, now)
-        elif word.kind is MessageKind.ACK and (asked := self.asked_for.pop(word.number, None)) is not None:
-            who, number, whom, _ = asked
-            if whom == sender and who in self.others:
-                self._tell(MessageKind.INDIRECT_ACK, self.others[who], number, whom)
-        elif word.kind is MessageKind.INDIRECT_ACK:
-            probe = self.probes.get(word.number)
-            if probe is not None and probe.member.id == word.about:
-                self._answered(word.number)
-
-    def tried(self, now: float, member: int, began_ms: float, refused: bool) -> None:
-        """The end of a try of its port. RefusedError: no process has it, and whoever starts there waits
-        (parts.py)."""
-        self._turned(now)
-        m = self.others.get(member)
-        if m is None or not refused or m.heard_ms >= began_ms:
+        self._note_alive(now, member, message.incarnation)
+        for update in message.updates:
+            self._apply_update(update, member, now)
+        self._answer(now, member, message)
+
+    def port_checked(self, now: float, member_id: int, began_ms: float, refused: bool) -> None:
+        """Report the end of a port check. A refusal proves that no process has the port; whoever starts there
+        waits before it uses anything (`quota_lease.py`)."""
+        self._begin_turn(now)
+        member = self.others.get(member_id)
+        if member is None or not refused or member.heard_ms >= began_ms:
             return
-        m.refused_ms = self.swept_ms = max(m.refused_ms, began_ms)
-        if m.state is not MemberState.LEFT:
-            self._hold(m, m.start, MemberState.DEAD, now, REFUSED)
-            m.why = REFUSED  # whoever said so before
+        member.refused_ms = max(member.refused_ms, began_ms)
+        self.port_checks.last_refused_ms = member.refused_ms
+        if member.state is not MemberState.LEFT:
+            self.set_state(member, member.incarnation, MemberState.DEAD, now, PORT_REFUSED)
+            member.reason = PORT_REFUSED  # whoever said so before
 
-    def time_passed(self, now: float) -> None:
-        """The wake that was asked for. Danger: one that comes a hair early would be the last."""
-        self.waking = False
+    def wake_up(self) -> None:
+        """Report that the requested wake-up came. Should it come a hair early, another is requested: without
+        that it would be the last."""
+        self.wake_requested = False
 
-    # -- decisions
+    # -- outputs
 
     def decide(self, now: float) -> Action | None:
         """The next thing to do, or None."""
-        self._turned(now)
-        if now >= self.due_ms:
-            self._look(now)
-            self.due_ms, self.waking = now + TICK_MS, False
-        if self.out:
-            return self.out.popleft()
-        if not self.waking:
-            self.waking = True
-            return Action(ActionKind.WAKE, ms=self.due_ms)
+        self._begin_turn(now)
+        if now >= self.next_tick_ms:
+            self._tick(now)
+            self.next_tick_ms = now + TICK_MS
+            self.wake_requested = False
+        if self.actions:
+            return self.actions.popleft()
+        if not self.wake_requested:
+            self.wake_requested = True
+            return Action(ActionKind.WAKE, at_ms=self.next_tick_ms)
         return None
 
-    def whole(self, now: float) -> ViewStatus:
+    def view_status(self, now: float) -> ViewStatus:
+        """Tell how far this view can be relied on now."""
         if not self.others:
             return ViewStatus.COMPLETE
-        if now - max(self.last_heard_ms, self.began_ms) > ALONE_MS and not self._all_proved(now):
+        silent_ms = now - max(self.last_heard_ms, self.began_ms)
+        if silent_ms > ISOLATED_AFTER_MS and not self.table.all_proved_dead(now):
             return ViewStatus.ISOLATED
-        if self.yielded or now < max(self.stalled_ms, self.accused_ms) + DOUBT_MS:
+        if self.yielded or now < max(self.last_pause_ms, self.last_refuted_ms) + UNCERTAIN_MS:
             return ViewStatus.UNCERTAIN
-        if self.unlike or self.by_state[MemberState.SUSPECT] or self.by_state[MemberState.UNKNOWN]:
+        if self.other_peer_lists or self.by_state[MemberState.SUSPECT] or self.by_state[MemberState.UNKNOWN]:
             return ViewStatus.UNCERTAIN
-        sure = all(proved(m, now) for m in self.by_state[MemberState.DEAD].values())
-        return ViewStatus.COMPLETE if sure else ViewStatus.UNCERTAIN
-
-    def _all_proved(self, now: float) -> bool:
-        gone = len(self.by_state[MemberState.DEAD]) + len(self.by_state[MemberState.LEFT])
-        return gone == len(self.others) and len(self.proved(now)) == gone
+        certain = all(is_proved_dead(member, now) for member in self.by_state[MemberState.DEAD].values())
+        return ViewStatus.COMPLETE if certain else ViewStatus.UNCERTAIN
 
-    def proved(self, now: float) -> list[Member]:
-        """Those of which it is certain now that no process uses their share."""
-        states = (MemberState.DEAD, MemberState.LEFT)
-        return [m for state in states for m in self.by_state[state].values() if proved(m, now)]
+    def proved_dead(self, now: float) -> list[Member]:
+        """List the members of which it is certain now that no process uses their quota."""
+        return self.table.proved_dead(now)
 
     def leave(self) -> list[Action]:
-        """The words of one that has stopped using anything: to a few, who pass it on."""
+        """The messages of a member that has stopped using anything: to a few, who pass it on."""
         alive = list(self.by_state[MemberState.ALIVE].values())
-        some = self.random_source.sample(alive, min(len(alive), 3 * HELPERS))
-        for m in some:
-            self._tell(MessageKind.LEAVE, m, 0)
-        done, self.out = list(self.out), deque()
-        return [d for d in done if d.word is not None and d.word.kind is MessageKind.LEAVE]
-
-    # -- what passes in a turn
-
-    def _turned(self, now: float) -> None:
-        """Danger: one that stood still finds all answers overdue, and would accuse every other member."""
-        gap, self.turned_ms = now - self.turned_ms, now
-        if gap <= TICK_MS + STALL_MS:
-            return
-        self.stalled_ms, self.stalls = now, self.stalls + 1
-        self.health = min(HEALTH_MOST, self.health + 1)
-        self.probes.clear()
-        for m in self.by_state[MemberState.SUSPECT].values():
-            m.begun_ms, m.asked_ms = m.begun_ms + gap, m.asked_ms + gap
-        self.period_ms += gap
-        self.changes.append(MemberEvent(0, "stood still", f"{gap:.0f} ms between two turns"))
-
-    def _look(self, now: float) -> None:
-        slower = 1.0 + self.health
-        for number, probe in list(self.probes.items()):
-            m, age = probe.member, now - probe.began_ms
-            if m.heard_ms >= probe.began_ms:
-                self._answered(number)
-            elif age >= PROBE_MS * slower:
-                del self.probes[number]
-                self.health = min(HEALTH_MOST, self.health + 1)
-                if self.last_heard_ms >= probe.began_ms:  # else it may be this one that is cut off
-                    self._suspect(m, self.me, now, "no answer, to others neither")
-            elif age >= ACK_MS * slower and not probe.helped:
-                probe.helped = True
-                self._tell(MessageKind.PING, m, number)
-                alive = [x for x in self.by_state[MemberState.ALIVE].values() if x is not m]
-                for helper in self.random_source.sample(alive, min(HELPERS, len(alive))):
-                    self._tell(MessageKind.PING_REQUEST, helper, number, m.id)
-        for number in [n for n, asked in self.asked_for.items() if now > asked[3]]:
-            del self.asked_for[number]
-        for m in list(self.by_state[MemberState.SUSPECT].values()):
-            if now >= self._suspected_till(m):
-                if m.heard_ms > m.begun_ms:  # our own ears say otherwise: it has not heard the accusation yet
-                    m.suspect(now)
-                elif now < m.asked_ms + PROBE_MS:
-                    continue  # danger: where hundreds change at once its answer to others comes too late here
-                elif m.asks_left and self.spare:
-                    self.spare, m.asks_left, m.asked_ms = self.spare - 1, m.asks_left - 1, now
-                    self._tell(MessageKind.PING, m, 0)
-                elif m.asks_left:
-                    continue
-                elif self.last_heard_ms > m.begun_ms:  # danger: one that is cut off would fail all others
-                    self._hold(m, m.start, MemberState.DEAD, now, "suspected, and did not answer in time")
-        self._try_ports(now)
-        if now >= self.period_ms:
-            self.period_ms, self.spare = max(now, self.period_ms + PERIOD_MS), UNKNOWN_PROBES_PER_PERIOD
-            self._ask_next(now)
-
-    def _ask_next(self, now: float) -> None:
-        while self.turn:
-            m = self.others[self.turn.pop()]
-            if m.state in (MemberState.ALIVE, MemberState.SUSPECT):
-                self.number = self.number + 1 & 0xFFFFFFFF
-                self.probes[self.number] = Probe(m, now)
-                self._tell(MessageKind.PING, m, self.number)
-                break
-        if not self.turn:
-            self.turn = [*self.by_state[MemberState.ALIVE], *self.by_state[MemberState.SUSPECT]]
-            self.random_source.shuffle(self.turn)
-        unheard = list(self.by_state[MemberState.UNKNOWN].values())
-        lost = [*self.by_state[MemberState.DEAD].values(), *self.by_state[MemberState.SUSPECT].values()]
-        found_again = now < self.healed_ms + HEALED_MS
-        for some, most in ((unheard, UNKNOWN_PROBES_PER_PERIOD), (lost, UNKNOWN_PROBES_PER_PERIOD if found_again else 1)):
-            for m in self.random_source.sample(some, min(most, len(some))):
-                self._tell(MessageKind.PING, m, 0)
-        unasked = [m for m in self.by_state[MemberState.SUSPECT].values() if m.asked_ms == math.inf]
-        for m in unasked[:UNKNOWN_PROBES_PER_PERIOD]:  # nobody is failed whom this one has not asked itself
-            self._tell(MessageKind.PING, m, 0)
-
-    def _try_ports(self, now: float) -> None:
-        """Silence proves nothing, a refused port does. Danger: after seven in ten died at once, to ask one a
-        second would take a minute; a refusal has all that are not heard tried."""
-        earned = TRIES_PER_S * TICK_MS / 1e3
-        self.room = min(2.0 * earned, self.room + earned)
-        some = {p.member.id: p.member for p in self.probes.values() if p.helped}
-        for state in (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT):
-            some.update(self.by_state[state])
-        if now > self.began_ms + ALONE_MS:
-            some.update(self.by_state[MemberState.UNKNOWN])
-        if now < self.swept_ms + SWEEP_MS:
-            silent = now - PERIOD_MS
-            some.update((id, m) for id, m in self.by_state[MemberState.ALIVE].items() if m.heard_ms < silent)
-        due = [m for m in some.values() if now >= m.tried_ms + TRY_AGAIN_MS]
-        due.sort(key=lambda m: m.tried_ms)
-        for m in due[: int(self.room)]:
-            self.room -= 1.0
-            m.tried_ms = now
-            self.out.append(Action(ActionKind.CHECK_PORT, m.id))
-
-    def _answered(self, number: int) -> None:
-        del self.probes[number]
-        self.health = max(0, self.health - 1)
-
-    def _ask_for(self, who: Member, word: Message, now: float) -> None:
-        m = self.others.get(word.about)
-        if m is None or len(self.asked_for) >= ASKED_FOR_BOUND:
-            self.counts["not asked for"] += 1
-            return
-        self.number = self.number + 1 & 0xFFFFFFFF
-        self.asked_for[self.number] = who.id, word.number, m.id, now + PROBE_MS
-        self._tell(MessageKind.PING, m, self.number)
-
-    # -- what is believed
-
-    def _hold(self, m: Member, start: Incarnation, state: MemberState, now: float, why: str) -> None:
-        """The one place where a member's state changes."""
-        before = m.state
-        if start == m.start and state is before:
+        for member in self.random_source.sample(alive, min(len(alive), 3 * INDIRECT_PROBES)):
+            self._send(MessageKind.LEAVE, member, 0)
+        pending = list(self.actions)
+        self.actions = deque()
+        return [a for a in pending if a.message is not None and a.message.kind is MessageKind.LEAVE]
+
+    def set_state(
+        self, member: Member, incarnation: Incarnation, state: MemberState, now: float, reason: str
+    ) -> None:
+        """Change a member's state: the one place where that is done."""
+        before = member.state
+        if incarnation == member.incarnation and state is before:
             return
-        self.view ^= _digest(m.id, m.start, before) ^ _digest(m.id, start, state)
-        m.start, m.state = start, state
-        del self.by_state[before][m.id]
-        self.by_state[state][m.id] = m
+        self.table.move(member, incarnation, state)
         if state is not MemberState.ALIVE:
-            self.unlike.discard(m.id)
-        self.told[m.id] = 0
+            self.other_peer_lists.discard(member.id)
+        self.updates.add(member.id)
         if state is MemberState.SUSPECT:
-            m.suspect(now)
-        if state is not before or why == "started again":
-            m.since_ms, m.why = now, why
-            self.changes.append(MemberEvent(m.id, MEMBER_STATE_LABELS[state], why))
-
-    def _suspect(self, m: Member, by: int, now: float, why: str) -> None:
-        if m.state is MemberState.ALIVE:
-            self._hold(m, m.start, MemberState.SUSPECT, now, why)
-        if m.state is MemberState.SUSPECT and by != self.me and len(m.confirmers) < SHARED_BY:
-            m.confirmers.add(by)
-
-    def _suspected_till(self, m: Member) -> float:
-        shared = math.log(len(m.confirmers) + 1) / math.log(SHARED_BY + 1)
-        return m.begun_ms + self.suspect_ms * (SUSPECT_MOST - (SUSPECT_MOST - 1.0) * shared)
-
-    def _news(self, news: MemberUpdate, sender: Member, now: float) -> None:
-        if news.member == self.me:
-            self._told_of_me(news, now)
+            member.begin_suspicion(now)
+        if state is not before or reason == "started again":
+            member.since_ms = now
+            member.reason = reason
+            self.events.append(MemberEvent(member.id, MEMBER_STATE_LABELS[state], reason))
+
+    # -- received messages
+
+    def _note_heard(self, now: float, member: Member, message: Message) -> None:
+        member.heard_ms = now
+        self.last_heard_ms = now
+        member.refused_ms = -math.inf  # it is there: an earlier proof is over
+        member.view_digest = message.view_digest
+        member.policy_version = message.policy_version
+        if message.peers_digest == self.peers_digest:
+            self.other_peer_lists.discard(member.id)
+        else:
+            self.other_peer_lists.add(member.id)
+
+    def _note_alive(self, now: float, member: Member, incarnation: Incarnation) -> None:
+        if incarnation <= member.incarnation and member.state is not MemberState.UNKNOWN:
             return
-        m = self.others.get(news.member)
-        if m is None:
-            self.counts["news of one not listed"] += 1
+        if member.state is MemberState.DEAD:
+            self.last_recovered_ms = now  # so others may be there too
+        restarted = member.incarnation.token not in (0, incarnation.token)
+        self.set_state(member, incarnation, MemberState.ALIVE, now, "started again" if restarted else "heard")
+
+    def _answer(self, now: float, sender: Member, message: Message) -> None:
+        if message.kind is MessageKind.PING:
+            self._send(MessageKind.ACK, sender, message.sequence)
+        elif message.kind is MessageKind.PING_REQUEST:
+            self._relay_ping(sender, message, now)
+        elif message.kind is MessageKind.ACK:
+            self._relay_ack(sender, message)
+        elif message.kind is MessageKind.INDIRECT_ACK:
+            probe = self.probes.in_flight.get(message.sequence)
+            if probe is not None and probe.member.id == message.target:
+                self._probe_answered(message.sequence)
+
+    def _relay_ping(self, requester: Member, message: Message, now: float) -> None:
+        target = self.others.get(message.target)
+        if target is None or len(self.probes.relayed) >= MAX_RELAYED_PROBES:
+            self.counts["not asked for"] += 1
             return
-        if news.start < m.start or news.state is MemberState.UNKNOWN:
+        sequence = self.probes.begin_relayed(requester.id, message.sequence, target.id, now)
+        self._send(MessageKind.PING, target, sequence)
+
+    def _relay_ack(self, sender: Member, message: Message) -> None:
+        relayed = self.probes.relayed.pop(message.sequence, None)
+        if relayed is not None and relayed.target == sender.id and relayed.requester in self.others:
+            requester = self.others[relayed.requester]
+            self._send(MessageKind.INDIRECT_ACK, requester, relayed.requester_sequence, relayed.target)
+
+    def _apply_update(self, update: MemberUpdate, sender: Member, now: float) -> None:
+        if update.member == self.own_id:
+            self._apply_update_about_self(update, now)
             return
-        why = "another says so"
-        if news.start > m.start:
-            heard = news.state is MemberState.SUSPECT
-            self._hold(m, news.start, MemberState.ALIVE if heard else news.state, now, why)
-        if news.state is MemberState.SUSPECT:
-            self._suspect(m, sender.id, now, why)
-        elif news.state is MemberState.DEAD and m.state < MemberState.DEAD:
-            if now < m.heard_ms + RECENTLY_HEARD_MS:
-                self._suspect(m, sender.id, now, why)
-            else:
-                self._hold(m, news.start, MemberState.DEAD, now, why)
-        elif news.state is MemberState.LEFT:
-            self._hold(m, news.start, MemberState.LEFT, now, why)
-
-    def _told_of_me(self, news: MemberUpdate, now: float) -> None:
-        """An accusation is answered by a later start of the same process; another process's start by one far
-        above it, and only if that one then comes back above this, the lower token yields: neither flaps.
-        Danger: what an earlier process of this name said last is heard late, bit by bit, and it is dead."""
-        if news.start.token == self.start.token:
-            if news.start >= self.start and news.state in (MemberState.SUSPECT, MemberState.DEAD):
-                self.accused_ms = now
-                self.health = min(HEALTH_MOST, self.health + 1)
-                self._start_above(news.start.incarnation)
+        member = self.others.get(update.member)
+        if member is None:
+            self.counts["news of one not listed"] += 1
             return
-        if news.start < self.start or self.yielded:
+        if update.incarnation < member.incarnation or update.state is MemberState.UNKNOWN:
             return
-        outdone = self.overs.get(news.start.token)
-        if outdone is not None and news.start.incarnation > outdone:  # nobody dead has come so far: it lives
+        reason = "another says so"
+        if update.incarnation > member.incarnation:
+            suspected = update.state is MemberState.SUSPECT
+            state = MemberState.ALIVE if suspected else update.state
+            self.set_state(member, update.incarnation, state, now, reason)
+        if update.state is MemberState.SUSPECT:
+            self._suspect(member, sender.id, now, reason)
+        elif update.state is MemberState.DEAD and member.state < MemberState.DEAD:
+            if now < member.heard_ms + RECENTLY_HEARD_MS:
+                self._suspect(member, sender.id, now, reason)
+            else:
+                self.set_state(member, update.incarnation, MemberState.DEAD, now, reason)
+        elif update.state is MemberState.LEFT:
+            self.set_state(member, update.incarnation, MemberState.LEFT, now, reason)
+
+    # -- the own incarnation
+
+    def _apply_update_about_self(self, update: MemberUpdate, now: float) -> None:
+        """Refute a suspicion of this process, or override another process of this name."""
+        if update.incarnation.token == self.incarnation.token:
+            self._refute(update, now)
+        elif update.incarnation >= self.incarnation and not self.yielded:
+            self._override(update.incarnation)
+
+    def _refute(self, update: MemberUpdate, now: float) -> None:
+        suspected = update.state in (MemberState.SUSPECT, MemberState.DEAD)
+        if suspected and update.incarnation >= self.incarnation:
+            self.last_refuted_ms = now
+            self.health.worsen()
+            self._raise_incarnation(update.incarnation.number)
+
+    def _override(self, other: Incarnation) -> None:
+        """Take an incarnation far above another process's of this name; only if that one then comes back
+        above this, the lower token yields, so that neither flaps. The last messages of an earlier process,
+        which is dead, are heard late and one by one: they must not look like a living one."""
+        overridden = self.overridden.get(other.token)
+        if overridden is not None and other.number > overridden:  # no dead process has come so far: it lives
             if not self.counts["two processes"]:
-                self.changes.append(MemberEvent(0, "two processes", "another one runs under this name"))
+                self.events.append(MemberEvent(0, "two processes", "another one runs under this name"))
             self.counts["two processes"] += 1
-            if news.start.token > self.start.token:
+            if other.token > self.incarnation.token:
                 self.yielded = True
-                self.changes.append(MemberEvent(0, "yielded", "the other process keeps the name"))
+                self.events.append(MemberEvent(0, "yielded", "the other process keeps the name"))
                 return
-        if outdone is not None or len(self.overs) < MAX_CONFLICTING_PROCESSES:
-            self._start_above(news.start.incarnation + STEP)
-            self.overs[news.start.token] = self.start.incarnation
-
-    def _start_above(self, incarnation: int) -> None:
-        before = self.start
-        self.start = Incarnation(min(incarnation + 1, 0xFFFFFFFF), before.token)
-        self.view ^= _digest(self.me, before, MemberState.ALIVE) ^ _digest(self.me, self.start, MemberState.ALIVE)
-        self.told[self.me] = 0
-
-    # -- words
-
-    def _tell(self, kind: MessageKind, to: Member, number: int, about: int = 0) -> None:
-        word = Message(
-            kind, self.fleet, self.me, self.start, self.peers, self.view, number, about, self._pick(to),
-            self.version,
-        )  # fmt: skip
+        if overridden is not None or len(self.overridden) < MAX_CONFLICTING_PROCESSES:
+            self._raise_incarnation(other.number + INCARNATION_STEP)
+            self.overridden[other.token] = self.incarnation.number
+
+    def _raise_incarnation(self, above: int) -> None:
+        before = self.incarnation
+        self.incarnation = Incarnation(min(above + 1, MAX_INCARNATION), before.token)
+        self.table.own_incarnation_changed(before, self.incarnation)
+        self.updates.add(self.own_id)
+
+    # -- the passing of time
+
+    def _begin_turn(self, now: float) -> None:
+        """Notice a pause of this process: one that was paused finds all answers overdue, and would suspect
+        every other member."""
+        gap_ms = now - self.last_turn_ms
+        self.last_turn_ms = now
+        if gap_ms <= TICK_MS + PAUSE_MS:
+            return
+        self.last_pause_ms = now
+        self.pauses += 1
+        self.health.worsen()
+        self.probes.in_flight.clear()
+        for member in self.by_state[MemberState.SUSPECT].values():
+            member.suspected_ms += gap_ms
+            member.pinged_ms += gap_ms
+        self.next_period_ms += gap_ms
+        self.events.append(MemberEvent(0, "stood still", f"{gap_ms:.0f} ms between two turns"))
+
+    def _tick(self, now: float) -> None:
+        self._check_probes(now)
+        self.probes.expire_relayed(now)
+        self._check_suspicions(now)
+        for member in self.port_checks.due(now, self.probes):
+            self.actions.append(Action(ActionKind.CHECK_PORT, member.id))
+        if now >= self.next_period_ms:
+            self.next_period_ms = max(now, self.next_period_ms + PROBE_PERIOD_MS)
+            self.final_pings_left = EXTRA_PROBES_PER_PERIOD
+            self._begin_period(now)
+
+    def _check_probes(self, now: float) -> None:
+        factor = self.health.timeout_factor
+        for sequence, probe in list(self.probes.in_flight.items()):
+            age_ms = now - probe.began_ms
+            if probe.member.heard_ms >= probe.began_ms:
+                self._probe_answered(sequence)
+            elif age_ms >= PROBE_TIMEOUT_MS * factor:
+                self._probe_timed_out(sequence, probe, now)
+            elif age_ms >= ACK_TIMEOUT_MS * factor and not probe.indirect:
+                self._probe_indirectly(sequence, probe)
+
+    def _probe_answered(self, sequence: int) -> None:
+        del self.probes.in_flight[sequence]
+        self.health.improve()
+
+    def _probe_timed_out(self, sequence: int, probe: Probe, now: float) -> None:
+        del self.probes.in_flight[sequence]
+        self.health.worsen()
+        if self.last_heard_ms >= probe.began_ms:  # else it may be this one that is cut off
+            self._suspect(probe.member, self.own_id, now, "no answer, to others neither")
+
+    def _probe_indirectly(self, sequence: int, probe: Probe) -> None:
+        probe.indirect = True
+        self._send(MessageKind.PING, probe.member, sequence)
+        for helper in self.probes.choose_helpers(probe.member):
+            self._send(MessageKind.PING_REQUEST, helper, sequence, probe.member.id)
+
+    def _suspect(self, member: Member, suspected_by: int, now: float, reason: str) -> None:
+        if member.state is MemberState.ALIVE:
+            self.set_state(member, member.incarnation, MemberState.SUSPECT, now, reason)
+        if suspected_by != self.own_id:
+            confirm(member, suspected_by)
+
+    def _check_suspicions(self, now: float) -> None:
+        for member in list(self.by_state[MemberState.SUSPECT].values()):
+            if now >= self.suspicions.deadline_ms(member):
+                self._suspicion_ran_out(member, now)
+
+    def _suspicion_ran_out(self, member: Member, now: float) -> None:
+        if member.heard_ms > member.suspected_ms:
+            member.begin_suspicion(now)  # heard here: it does not know of the suspicion yet
+        elif now < member.pinged_ms + PROBE_TIMEOUT_MS:
+            return  # where hundreds change at once its answer to others comes too late here
+        elif member.final_pings_left and self.final_pings_left:
+            self.final_pings_left -= 1
+            member.final_pings_left -= 1
+            member.pinged_ms = now
+            self._send(MessageKind.PING, member, 0)
+        elif member.final_pings_left:
+            return
+        elif (
+            self.last_heard_ms > member.suspected_ms
+        ):  # else one that is cut off would declare all others dead
+            reason = "suspected, and did not answer in time"
+            self.set_state(member, member.incarnation, MemberState.DEAD, now, reason)
+
+    def _begin_period(self, now: float) -> None:
+        begun = self.probes.begin_next(now)
+        if begun is not None:
+            sequence, probe = begun
+            self._send(MessageKind.PING, probe.member, sequence)
+        self.probes.refill_round()
+        unknown = list(self.by_state[MemberState.UNKNOWN].values())
+        lost = [*self.by_state[MemberState.DEAD].values(), *self.by_state[MemberState.SUSPECT].values()]
+        recovering = now < self.last_recovered_ms + RECOVERY_MS
+        self._ping_some(unknown, EXTRA_PROBES_PER_PERIOD)
+        self._ping_some(lost, EXTRA_PROBES_PER_PERIOD if recovering else 1)
+        suspects = self.by_state[MemberState.SUSPECT].values()
+        unpinged = [member for member in suspects if member.pinged_ms == math.inf]
+        for member in unpinged[
+            :EXTRA_PROBES_PER_PERIOD
+        ]:  # none is declared dead that was not pinged from here
+            self._send(MessageKind.PING, member, 0)
+
+    def _ping_some(self, members: list[Member], most: int) -> None:
+        for member in self.random_source.sample(members, min(most, len(members))):
+            self._send(MessageKind.PING, member, 0)
+
+    # -- sent messages
+
+    def _send(self, kind: MessageKind, recipient: Member, sequence: int, target: int = 0) -> None:
+        message = Message(
+            kind,
+            self.fleet,
+            self.own_id,
+            self.incarnation,
+            self.peers_digest,
+            self.view_digest,
+            sequence,
+            target,
+            tuple(self._entry(id) for id in self.updates.pick(recipient)),
+            self.policy_version,
+        )
         self.counts["told"] += 1
         if kind is MessageKind.PING:
-            to.asked_ms = min(to.asked_ms, self.turned_ms)
-        self.out.append(Action(ActionKind.SEND, to.id, word))
-
-    def _pick(self, to: Member) -> tuple[MemberUpdate, ...]:
-        """First what is held against the one who reads, then what was told least, then, where the views
-        differ, all in turn: news can be lost, and a fleet that was cut in two has to compare everything."""
-        some = {to.id: None} if to.state not in (MemberState.ALIVE, MemberState.UNKNOWN) or to.start.incarnation else {}
-        for id in sorted(self.told, key=self.told.__getitem__)[: MAX_UPDATES - len(some)]:
-            if id not in some:
-                some[id] = None
-            self.told[id] += 1
-            if self.told[id] >= self.told_times:
-                del self.told[id]
-        if to.view != self.view:
-            for _ in range(min(len(self.ids), MAX_UPDATES)):
-                if len(some) >= MAX_UPDATES:
-                    break
-                self.cursor = (self.cursor + 1) % len(self.ids)
-                if self.others[self.ids[self.cursor]].state is not MemberState.UNKNOWN:
-                    some[self.ids[self.cursor]] = None
-        return tuple(self._said(id) for id in list(some)[:MAX_UPDATES])
-
-    def _said(self, id: int) -> MemberUpdate:
-        if id == self.me:
-            return MemberUpdate(id, self.start, MemberState.ALIVE)
-        m = self.others[id]
-        return MemberUpdate(id, m.start, m.state)
-
-
-PROOF_MS = 5000.0  # a refused port proves for so long that nobody uses the share of its name
-
-
-def proved(m: Member, now: float) -> bool:
-    """Whether it is certain now that no process uses this member's share."""
-    return now < m.refused_ms + PROOF_MS
-
-
-def _digest(id: int, start: Incarnation, state: MemberState) -> int:
-    return digest(MEMBER_UPDATE.pack(id, *start, state).hex())
+            recipient.pinged_ms = min(recipient.pinged_ms, self.last_turn_ms)
+        self.actions.append(Action(ActionKind.SEND, recipient.id, message))
+
+    def _entry(self, id: int) -> MemberUpdate:
+        if id == self.own_id:
+            return MemberUpdate(id, self.incarnation, MemberState.ALIVE)
+        member = self.others[id]
+        return MemberUpdate(id, member.incarnation, member.state)
--- a/petrelway/policy/service.py
+++ b/petrelway/policy/service.py
@@ -17,7 +17,8 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ..membership.service import MAX_PORT_CONNECTIONS, MembershipService, PeerAddress, PortCheckFactory
+from ..membership.port_checks import MAX_PORT_CONNECTIONS, PortCheckFactory
+from ..membership.service import MembershipService, PeerAddress
 from ..wire.framing import Frames, WireError
 from . import state_machine as ledgers
 from .change_coordinator import Try
@@ -232,7 +233,7 @@
         self.pulling = True
         if self.terms.stop:
             fleet = self.fleet
-            proofs = {fleet.peers[m.id].name: m.refused_ms for m in fleet.members.proved(self.now())}
+            proofs = {fleet.peers[m.id].name: m.refused_ms for m in fleet.members.proved_dead(self.now())}
             self.party.proved_gone(self.now(), proofs)
         try:
             while (d := self.party.decide(self.now())) is not None:
@@ -294,7 +295,7 @@
             return max(1.0, retry_ms)
         if terms is not self.terms:
             self.terms = terms
-            self.fleet.members.version = terms.version
+            self.fleet.members.policy_version = terms.version
             self.adopted(terms)
         return 0.0
 
--- a/tests/compatibility/forms_fleet_words.py
+++ b/tests/compatibility/forms_fleet_words.py
@@ -25,10 +25,20 @@
     """A word of its values in the order of the datagram's head."""
     kind, fleet, sender, start, peers, view, number, about, news, version = row
     told = tuple(
-        messages.MemberUpdate(member, messages.Incarnation(*its_start), messages.MemberState(state)) for member, its_start, state in news
+        messages.MemberUpdate(member, messages.Incarnation(*its_start), messages.MemberState(state))
+        for member, its_start, state in news
     )
     return messages.Message(
-        messages.MessageKind(kind), fleet, sender, messages.Incarnation(*start), peers, view, number, about, told, version
+        messages.MessageKind(kind),
+        fleet,
+        sender,
+        messages.Incarnation(*start),
+        peers,
+        view,
+        number,
+        about,
+        told,
+        version,
     )
 
 
@@ -79,8 +89,19 @@
 def bounds() -> list[list[Any]]:
     """The numbers and layouts that both ends of a datagram must agree about."""
     return [
-        [messages.DATAGRAM_BOUND, messages.VERSION, messages.MAGIC, messages.MAX_UPDATES, messages.POLICY_VERSION_SECTION_TYPE],
-        [messages.HEADER.format, messages.MEMBER_UPDATE.format, messages.POLICY_VERSION_SECTION.format, messages.CHECKSUM.format],
+        [
+            messages.DATAGRAM_BOUND,
+            messages.VERSION,
+            messages.MAGIC,
+            messages.MAX_UPDATES,
+            messages.POLICY_VERSION_SECTION_TYPE,
+        ],
+        [
+            messages.HEADER.format,
+            messages.MEMBER_UPDATE.format,
+            messages.POLICY_VERSION_SECTION.format,
+            messages.CHECKSUM.format,
+        ],
         [int(kind) for kind in messages.MessageKind],
         [int(state) for state in messages.MemberState],
     ]
@@ -91,13 +112,17 @@
     names = load(TOPIC, "names.json")
     me, other, third = (messages.digest(*some) for some in names[:3])
     members = MembershipStateMachine(0.0, me, 9, third, [other], random.Random(1))
-    return [[some, messages.digest(*some)] for some in names] + [["fresh", members.peers, members.view]]
+    return [[some, messages.digest(*some)] for some in names] + [
+        ["fresh", members.peers_digest, members.view_digest]
+    ]
 
 
 def page() -> list[Any]:
     """The members as operators see them, as JSON text, with one peer in each state."""
     me = PeerAddress("front-0", "127.0.0.1", 9000)
-    peers = [PeerAddress(f"front-{int(state) + 1}", "127.0.0.1", 9001 + state) for state in messages.MemberState]
+    peers = [
+        PeerAddress(f"front-{int(state) + 1}", "127.0.0.1", 9001 + state) for state in messages.MemberState
+    ]
     service = MembershipService(
         Clock(), me, "gateway", [me, *peers], 7, random.Random(1), ReturnLogger(), None, None
     )
@@ -105,8 +130,8 @@
     service.members = MembershipStateMachine(
         0.0, messages.digest("front-0"), 7, messages.digest("gateway"), ids, service.random_source
     )
-    service.parts = QuotaLeaseHolder(0.0, len(ids) + 1)
-    service.held = service.parts.held(service.members, 0.0)
+    service.lease_holder = QuotaLeaseHolder(0.0, len(ids) + 1)
+    service.lease = service.lease_holder.current(service.members, 0.0)
     for number, state in zip(ids, messages.MemberState):
         service.members.others[number].state = state
     return [json.dumps(service.members_seen())]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,7 @@
 from petrelway.invariants.state_explorer import explore
 from petrelway.membership import messages
 from petrelway.membership import quota_lease as parts_module
-from petrelway.membership import swim as members_module
+from petrelway.membership.member import PROOF_MS, is_proved_dead
 from petrelway.membership.messages import (
     Incarnation,
     MemberState,
@@ -26,8 +26,10 @@
     MessageError,
     MessageKind,
 )
+from petrelway.membership.probing import PORT_CHECKS_PER_S
 from petrelway.membership.quota_lease import STARTUP_WAIT_MS, QuotaLeaseHolder
-from petrelway.membership.swim import ActionKind, MembershipStateMachine, ViewStatus
+from petrelway.membership.suspicion import RECENTLY_HEARD_MS
+from petrelway.membership.swim import INCARNATION_STEP, ActionKind, MembershipStateMachine, ViewStatus
 
 A, B, C = 11, 22, 33
 EVER = math.inf
@@ -37,18 +39,27 @@
     return MembershipStateMachine(now, me, token, 1, list(others), random.Random(1))
 
 
-PEERS = member().peers
+PEERS = member().peers_digest
 
 
-def word(kind=MessageKind.ACK, sender=B, start=Incarnation(1, 9), news=(), number=0, about=0, fleet=1, peers=PEERS):
-    return Message(kind, fleet, sender, start, peers, 0, number, about, tuple(news))
+def word(
+    kind=MessageKind.ACK,
+    sender=B,
+    incarnation=Incarnation(1, 9),
+    updates=(),
+    number=0,
+    about=0,
+    fleet=1,
+    peers=PEERS,
+):
+    return Message(kind, fleet, sender, incarnation, peers, 0, number, about, tuple(updates))
 
 
 def pull(m, now):
     """All that it decides now, but for the wake."""
     found = []
     while (d := m.decide(now)) is not None:
-        if d.verb is not ActionKind.WAKE:
+        if d.kind is not ActionKind.WAKE:
             found.append(d)
     return found
 
@@ -137,10 +148,26 @@
 
 foreign = st.one_of(
     st.builds(
-        Message, st.sampled_from(MessageKind), ids.filter(lambda f: f != 1), st.just(B), starts, ids, ids, ids, ids
+        Message,
+        st.sampled_from(MessageKind),
+        ids.filter(lambda f: f != 1),
+        st.just(B),
+        starts,
+        ids,
+        ids,
+        ids,
+        ids,
     ),
     st.builds(
-        Message, st.sampled_from(MessageKind), st.just(1), ids.filter(lambda s: s != B), starts, ids, ids, ids, ids
+        Message,
+        st.sampled_from(MessageKind),
+        st.just(1),
+        ids.filter(lambda s: s != B),
+        starts,
+        ids,
+        ids,
+        ids,
+        ids,
     ),
 )
 
@@ -148,11 +175,11 @@
 @given(foreign)
 def test_words_of_another_fleet_or_under_anothers_address_change_no_view(strange):
     m = member()
-    m.heard(1.0, B, word(news=[MemberUpdate(C, Incarnation(3, 3), MemberState.ALIVE)]))
-    before = m.view, {id: (x.state, x.start, x.heard_ms) for id, x in m.others.items()}
-    m.heard(2.0, B, strange)
-    m.heard(2.0, 99, word(sender=99))
-    assert before == (m.view, {id: (x.state, x.start, x.heard_ms) for id, x in m.others.items()})
+    m.receive(1.0, B, word(updates=[MemberUpdate(C, Incarnation(3, 3), MemberState.ALIVE)]))
+    before = m.view_digest, {id: (x.state, x.incarnation, x.heard_ms) for id, x in m.others.items()}
+    m.receive(2.0, B, strange)
+    m.receive(2.0, 99, word(sender=99))
+    assert before == (m.view_digest, {id: (x.state, x.incarnation, x.heard_ms) for id, x in m.others.items()})
     assert sum(m.counts[c] for c in ("another fleet", "no peer's address")) == 2
 
 
@@ -161,88 +188,101 @@
                           st.floats(0, 3000)), max_size=30))  # fmt: skip
 def test_no_row_of_words_makes_it_fail_or_speak_without_end(row):
     m, now = member(), 0.0
-    for sender, kind, start, news, gap in row:
+    for sender, kind, incarnation, news, gap in row:
         now += gap
-        m.heard(now, sender, word(kind, sender, start, news))
+        m.receive(now, sender, word(kind, sender, incarnation, news))
         found = pull(m, now)
         assert len(found) < 40
-        assert all(len(messages.encode(d.word)) <= 256 for d in found if d.word)
+        assert all(len(messages.encode(d.message)) <= 256 for d in found if d.message)
         expected = messages.digest  # the view's digest is that of what it holds
         view = 0
-        for x in (*m.others.values(), SimpleNamespace(id=A, start=m.start, state=MemberState.ALIVE)):
-            view ^= expected(messages.MEMBER_UPDATE.pack(x.id, *x.start, x.state).hex())
-        assert m.view == view
+        for x in (
+            *m.others.values(),
+            SimpleNamespace(id=A, incarnation=m.incarnation, state=MemberState.ALIVE),
+        ):
+            view ^= expected(messages.MEMBER_UPDATE.pack(x.id, *x.incarnation, x.state).hex())
+        assert m.view_digest == view
 
 
 NEWS_OF_C = [
-    # what is held of C at start (2, 7), what is said of it, what is held after
-    (MemberState.ALIVE, Incarnation(1, 7), MemberState.DEAD, MemberState.ALIVE),  # an older start
+    # what is held of C at incarnation (2, 7), what is said of it, what is held after
+    (MemberState.ALIVE, Incarnation(1, 7), MemberState.DEAD, MemberState.ALIVE),  # an older incarnation
     (MemberState.ALIVE, Incarnation(2, 7), MemberState.SUSPECT, MemberState.SUSPECT),
     (MemberState.ALIVE, Incarnation(2, 7), MemberState.LEFT, MemberState.LEFT),
     (MemberState.ALIVE, Incarnation(3, 7), MemberState.DEAD, MemberState.DEAD),
-    (MemberState.SUSPECT, Incarnation(2, 7), MemberState.ALIVE, MemberState.SUSPECT),  # only a later start clears it
+    (
+        MemberState.SUSPECT,
+        Incarnation(2, 7),
+        MemberState.ALIVE,
+        MemberState.SUSPECT,
+    ),  # only a later incarnation clears it
     (MemberState.SUSPECT, Incarnation(3, 7), MemberState.ALIVE, MemberState.ALIVE),
     (MemberState.DEAD, Incarnation(2, 7), MemberState.SUSPECT, MemberState.DEAD),
-    (MemberState.DEAD, Incarnation(2, 8), MemberState.ALIVE, MemberState.ALIVE),  # another process of that name
+    (
+        MemberState.DEAD,
+        Incarnation(2, 8),
+        MemberState.ALIVE,
+        MemberState.ALIVE,
+    ),  # another process of that name
     (MemberState.LEFT, Incarnation(2, 7), MemberState.DEAD, MemberState.LEFT),
     (MemberState.LEFT, Incarnation(3, 7), MemberState.ALIVE, MemberState.ALIVE),
     (MemberState.ALIVE, Incarnation(2, 7), MemberState.UNKNOWN, MemberState.ALIVE),
 ]
 
 
-@pytest.mark.parametrize("held, start, state, after", NEWS_OF_C)
-def test_what_news_does_to_what_is_held(held, start, state, after):
+@pytest.mark.parametrize("held, incarnation, state, after", NEWS_OF_C)
+def test_what_news_does_to_what_is_held(held, incarnation, state, after):
     m = member()
-    m._hold(m.others[C], Incarnation(2, 7), held, 0.0, "")
-    m.heard(10_000.0, B, word(news=[MemberUpdate(C, start, state)]))
+    m.set_state(m.others[C], Incarnation(2, 7), held, 0.0, "")
+    m.receive(10_000.0, B, word(updates=[MemberUpdate(C, incarnation, state)]))
     assert m.others[C].state is after
 
 
 def test_ones_own_ears_beat_anothers_word():
     m = member()
-    m.heard(0.0, C, word(sender=C, start=Incarnation(2, 7)))
-    m.heard(1000.0, B, word(news=[MemberUpdate(C, Incarnation(2, 7), MemberState.DEAD)]))
+    m.receive(0.0, C, word(sender=C, incarnation=Incarnation(2, 7)))
+    m.receive(1000.0, B, word(updates=[MemberUpdate(C, Incarnation(2, 7), MemberState.DEAD)]))
     assert m.others[C].state is MemberState.SUSPECT
     m = member()
-    m.heard(0.0, C, word(sender=C, start=Incarnation(2, 7)))
-    m.heard(members_module.RECENTLY_HEARD_MS + 1, B, word(news=[MemberUpdate(C, Incarnation(2, 7), MemberState.DEAD)]))
+    m.receive(0.0, C, word(sender=C, incarnation=Incarnation(2, 7)))
+    m.receive(RECENTLY_HEARD_MS + 1, B, word(updates=[MemberUpdate(C, Incarnation(2, 7), MemberState.DEAD)]))
     assert m.others[C].state is MemberState.DEAD
 
 
 def test_an_accusation_is_answered_by_a_later_start():
     m = member()
-    m.heard(0.0, B, word(news=[MemberUpdate(A, m.start, MemberState.SUSPECT)]))
-    assert m.start == Incarnation(2, 5) and m.whole(1.0) is ViewStatus.UNCERTAIN
-    m.heard(1.0, B, word(news=[MemberUpdate(A, Incarnation(1, 5), MemberState.DEAD)]))  # an old one
-    assert m.start == Incarnation(2, 5)
+    m.receive(0.0, B, word(updates=[MemberUpdate(A, m.incarnation, MemberState.SUSPECT)]))
+    assert m.incarnation == Incarnation(2, 5) and m.view_status(1.0) is ViewStatus.UNCERTAIN
+    m.receive(1.0, B, word(updates=[MemberUpdate(A, Incarnation(1, 5), MemberState.DEAD)]))  # an old one
+    assert m.incarnation == Incarnation(2, 5)
 
 
 def test_a_restart_under_the_same_name_outdoes_the_earlier_process():
     m = member(token=1)
     for told in (Incarnation(5, 9), Incarnation(6, 9)):  # its last words come bit by bit; it is dead
-        m.heard(0.0, B, word(news=[MemberUpdate(A, told, MemberState.DEAD)]))
-    assert m.start > Incarnation(6, 9) and m.start.token == 1 and not m.yielded
+        m.receive(0.0, B, word(updates=[MemberUpdate(A, told, MemberState.DEAD)]))
+    assert m.incarnation > Incarnation(6, 9) and m.incarnation.token == 1 and not m.yielded
 
 
 def test_two_processes_under_one_name_neither_flap_nor_hold_the_share_twice():
     a, b = member(token=1), member(token=2)
     for _ in range(20):
-        a.heard(0.0, B, word(news=[MemberUpdate(A, b.start, MemberState.ALIVE)]))
-        b.heard(0.0, B, word(news=[MemberUpdate(A, a.start, MemberState.ALIVE)]))
+        a.receive(0.0, B, word(updates=[MemberUpdate(A, b.incarnation, MemberState.ALIVE)]))
+        b.receive(0.0, B, word(updates=[MemberUpdate(A, a.incarnation, MemberState.ALIVE)]))
     assert [a.yielded, b.yielded] == [True, False]
-    assert "yielded" in [c.what for c in a.changes] and "two processes" in [c.what for c in a.changes]
-    assert b.start.incarnation < 10 * members_module.STEP
-    assert QuotaLeaseHolder(-1e9, 3).held(a, 0.0).part.share == 0.0
+    assert "yielded" in [c.what for c in a.events] and "two processes" in [c.what for c in a.events]
+    assert b.incarnation.number < 10 * INCARNATION_STEP
+    assert QuotaLeaseHolder(-1e9, 3).current(a, 0.0).part.share == 0.0
 
 
 def test_one_that_stood_still_finds_out_and_accuses_nobody():
     m = member()
     for id in (B, C):
-        m.heard(0.0, id, word(sender=id, start=Incarnation(1, id)))
+        m.receive(0.0, id, word(sender=id, incarnation=Incarnation(1, id)))
     run(m, 0.0, 1500.0)
-    assert m.probes
+    assert m.probes.in_flight
     pull(m, 4600.0)
-    assert m.stalls == 1 and not m.probes and m.whole(4600.0) is ViewStatus.UNCERTAIN
+    assert m.pauses == 1 and not m.probes.in_flight and m.view_status(4600.0) is ViewStatus.UNCERTAIN
     run(m, 4700.0, 5600.0)
     assert {x.state for x in m.others.values()} == {MemberState.ALIVE}
 
@@ -250,38 +290,38 @@
 def test_one_that_hears_nobody_accuses_nobody_and_says_cut_off():
     m = member()
     for id in (B, C):
-        m.heard(0.0, id, word(sender=id, start=Incarnation(1, id)))
+        m.receive(0.0, id, word(sender=id, incarnation=Incarnation(1, id)))
     run(m, 0.0, 60_000.0)
-    assert m.whole(60_000.0) is ViewStatus.ISOLATED
+    assert m.view_status(60_000.0) is ViewStatus.ISOLATED
     assert MemberState.DEAD not in {x.state for x in m.others.values()}
 
 
 def test_silence_with_others_heard_is_suspected_then_failed():
     m, now = member(), 0.0
-    m.heard(0.0, C, word(sender=C, start=Incarnation(1, C)))
+    m.receive(0.0, C, word(sender=C, incarnation=Incarnation(1, C)))
     states = []
     while now < 40_000.0:
         now += 100.0
         pull(m, now)
-        m.heard(now, B, word())
+        m.receive(now, B, word())
         states.append(m.others[C].state)
     order = [s for i, s in enumerate(states) if not i or s is not states[i - 1]]
     assert order == [MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD]
-    assert not members_module.proved(m.others[C], now) and m.whole(now) is ViewStatus.UNCERTAIN
+    assert not is_proved_dead(m.others[C], now) and m.view_status(now) is ViewStatus.UNCERTAIN
 
 
 def test_a_refused_port_is_a_proof_until_the_member_is_heard():
     m = member()
-    m.heard(0.0, B, word())
-    m.heard(0.0, C, word(sender=C, start=Incarnation(1, C)))
-    m.tried(400.0, C, 300.0, False)
+    m.receive(0.0, B, word())
+    m.receive(0.0, C, word(sender=C, incarnation=Incarnation(1, C)))
+    m.port_checked(400.0, C, 300.0, False)
     assert m.others[C].state is MemberState.ALIVE
-    m.tried(400.0, C, 300.0, True)
-    assert m.others[C].state is MemberState.DEAD and members_module.proved(m.others[C], 400.0)
-    m.heard(500.0, C, word(sender=C, start=Incarnation(2, C)))
-    assert not members_module.proved(m.others[C], 500.0) and m.others[C].state is MemberState.ALIVE
-    m.tried(600.0, C, 450.0, True)  # a try that began before it was heard
-    assert not members_module.proved(m.others[C], 600.0)
+    m.port_checked(400.0, C, 300.0, True)
+    assert m.others[C].state is MemberState.DEAD and is_proved_dead(m.others[C], 400.0)
+    m.receive(500.0, C, word(sender=C, incarnation=Incarnation(2, C)))
+    assert not is_proved_dead(m.others[C], 500.0) and m.others[C].state is MemberState.ALIVE
+    m.port_checked(600.0, C, 450.0, True)  # a try that began before it was heard
+    assert not is_proved_dead(m.others[C], 600.0)
 
 
 def test_asks_and_tries_stay_bounded_with_the_number_of_members():
@@ -289,40 +329,40 @@
         others = list(range(100, 100 + size))
         m = member(others=others)
         for id in others:
-            m._hold(m.others[id], Incarnation(1, id), MemberState.DEAD, 0.0, "")
+            m.set_state(m.others[id], Incarnation(1, id), MemberState.DEAD, 0.0, "")
         found = run(m, 0.0, 10_000.0)
-        tells = sum(d.verb is ActionKind.SEND for d in found)
-        tries = sum(d.verb is ActionKind.CHECK_PORT for d in found)
-        assert tells <= 12 and tries <= 10 * members_module.TRIES_PER_S + 12
+        tells = sum(d.kind is ActionKind.SEND for d in found)
+        tries = sum(d.kind is ActionKind.CHECK_PORT for d in found)
+        assert tells <= 12 and tries <= 10 * PORT_CHECKS_PER_S + 12
 
 
 def test_a_different_list_of_peers_is_doubt():
     m = member(others=(B,))
-    m.heard(0.0, B, word(peers=m.peers))
-    assert m.whole(1.0) is ViewStatus.COMPLETE
-    m.heard(2.0, B, word(peers=m.peers ^ 1))
-    assert m.whole(3.0) is ViewStatus.UNCERTAIN
+    m.receive(0.0, B, word(peers=m.peers_digest))
+    assert m.view_status(1.0) is ViewStatus.COMPLETE
+    m.receive(2.0, B, word(peers=m.peers_digest ^ 1))
+    assert m.view_status(3.0) is ViewStatus.UNCERTAIN
 
 
 def test_one_that_leaves_says_so_and_is_not_asked_again():
     m, left = member(), member(me=B, others=(A, C))
-    left.heard(0.0, A, word(sender=A, start=m.start))
+    left.receive(0.0, A, word(sender=A, incarnation=m.incarnation))
     for d in left.leave():
-        assert d.word.kind is MessageKind.LEAVE
-        m.heard(1.0, B, d.word)
+        assert d.message.kind is MessageKind.LEAVE
+        m.receive(1.0, B, d.message)
     assert m.others[B].state is MemberState.LEFT
-    assert all(d.member != B for d in run(m, 2.0, 10_000.0) if d.verb is ActionKind.SEND)
+    assert all(d.member != B for d in run(m, 2.0, 10_000.0) if d.kind is ActionKind.SEND)
 
 
 def test_the_last_one_left_stands_for_all_once_each_is_proved_dead():
     m = member()
     for id in (B, C):
-        m.heard(0.0, id, word(sender=id, start=Incarnation(1, id), peers=m.peers))
+        m.receive(0.0, id, word(sender=id, incarnation=Incarnation(1, id), peers=m.peers_digest))
     run(m, 0.0, 9000.0)
-    m.tried(9000.0, B, 9000.0, True)
-    assert m.whole(9000.0) is ViewStatus.ISOLATED
-    m.tried(9000.0, C, 9000.0, True)
-    assert m.whole(9000.0) is ViewStatus.COMPLETE and len(m.proved(9000.0)) == 2
+    m.port_checked(9000.0, B, 9000.0, True)
+    assert m.view_status(9000.0) is ViewStatus.ISOLATED
+    m.port_checked(9000.0, C, 9000.0, True)
+    assert m.view_status(9000.0) is ViewStatus.COMPLETE and len(m.proved_dead(9000.0)) == 2
 
 
 def test_a_fleet_in_memory_agrees_after_a_cut_with_restarts_on_both_sides():
@@ -341,7 +381,9 @@
         sea.start(number)
     sim.run(sim.now_s + 10.0 + 20.0)
     views = [p.members for p in sea.peers.values()]
-    assert {m.whole(sea.now()) for m in views} == {ViewStatus.COMPLETE} and len({m.view for m in views}) == 1
+    assert {m.view_status(sea.now()) for m in views} == {ViewStatus.COMPLETE} and len(
+        {m.view_digest for m in views}
+    ) == 1
     assert sum(p.held.part.share for p in sea.peers.values()) == pytest.approx(1.0)
 
 
@@ -354,7 +396,7 @@
     (STARTUP_WAIT_MS, [], 1 / 3, "own share"),
     (STARTUP_WAIT_MS, [1000.0], 1 / 2, "dead"),
     (STARTUP_WAIT_MS, [1000.0, 10.0], 1.0, "dead"),
-    (STARTUP_WAIT_MS, [members_module.PROOF_MS], 1 / 3, "in doubt"),
+    (STARTUP_WAIT_MS, [PROOF_MS], 1 / 3, "in doubt"),
 ]
 
 
@@ -363,15 +405,15 @@
     now = 1e6
     m = member(now - age)
     for id in (B, C):
-        m.heard(now - 10_000.0, id, word(sender=id, start=Incarnation(1, id)))
-    m.last_heard_ms = m.turned_ms = now
-    m.stalled_ms = -math.inf
+        m.receive(now - 10_000.0, id, word(sender=id, incarnation=Incarnation(1, id)))
+    m.last_heard_ms = m.last_turn_ms = now
+    m.last_pause_ms = -math.inf
     for id, old in zip((B, C), proofs):
-        m.tried(now, id, now - old, True)
-    held = QuotaLeaseHolder(now - age, 3).held(m, now)
-    assert held.part.share == pytest.approx(share) and why in held.why
+        m.port_checked(now, id, now - old, True)
+    held = QuotaLeaseHolder(now - age, 3).current(m, now)
+    assert held.part.share == pytest.approx(share) and why in held.reason
     if proofs and share > 1 / 3:
-        assert held.part.until_ms == pytest.approx(now - max(proofs) + members_module.PROOF_MS)
+        assert held.part.until_ms == pytest.approx(now - max(proofs) + PROOF_MS)
 
 
 # -- every order of events
@@ -379,13 +421,15 @@
 MUTANTS = {
     "no wait": lambda patch: patch.setattr(parts_module, "STARTUP_WAIT_MS", 0.0),
     "no room for drift": lambda patch: (
-        patch.setattr(parts_module, "STARTUP_WAIT_MS", members_module.PROOF_MS),
-        patch.setattr(partners, "STEP_MS", members_module.PROOF_MS / 4),
+        patch.setattr(parts_module, "STARTUP_WAIT_MS", PROOF_MS),
+        patch.setattr(partners, "STEP_MS", PROOF_MS / 4),
     ),
     "proof counted from its arrival": lambda patch: patch.setattr(
         MembershipStateMachine,
-        "tried",
-        lambda self, now, m, began, refused, was=MembershipStateMachine.tried: was(self, now, m, now, refused),
+        "port_checked",
+        lambda self, now, m, began, refused, was=MembershipStateMachine.port_checked: was(
+            self, now, m, now, refused
+        ),
     ),
     "silence taken for proof": lambda patch: patch.setattr(
         partners, "moves", lambda s, was=partners.moves: [*was(s), *silent(s)]
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -57,10 +57,10 @@
         )  # fmt: skip
         self.fleet.startService()
 
-    def hear(self, peer, kind=MessageKind.ACK, start=Incarnation(1, 9), number=0, fleet="f"):
-        peers = self.fleet.members.peers
-        word = Message(kind, digest(fleet), digest(peer.name), start, peers, 0, number, 0)
-        self.fleet.datagrams.datagramReceived(messages.encode(word), (peer.address, peer.port))
+    def hear(self, peer, kind=MessageKind.ACK, incarnation=Incarnation(1, 9), number=0, fleet="f"):
+        peers = self.fleet.members.peers_digest
+        message = Message(kind, digest(fleet), digest(peer.name), incarnation, peers, 0, number, 0)
+        self.fleet.datagrams.datagramReceived(messages.encode(message), (peer.address, peer.port))
 
     def state(self, peer):
         return self.fleet.members.others[digest(peer.name)].state
@@ -75,7 +75,7 @@
     rig.hear(OTHER, MessageKind.PING, number=77)
     data, to = rig.reactor.sent[-1]
     assert to == (OTHER.address, OTHER.port) and messages.decode(data)[0] is MessageKind.ACK
-    assert messages.decode(data).number == 77 and rig.state(OTHER) is MemberState.ALIVE
+    assert messages.decode(data).sequence == 77 and rig.state(OTHER) is MemberState.ALIVE
 
 
 def test_what_is_dropped_is_counted_and_said_once():
@@ -104,7 +104,7 @@
     rig.hear(OTHER)
     for _ in range(200):
         rig.run(0.1)
-        rig.hear(THIRD, start=Incarnation(1, 8))
+        rig.hear(THIRD, incarnation=Incarnation(1, 8))
         for _, dial in rig.reactor.dialled:
             dial.clientConnectionFailed(None, Failure(how))
         rig.reactor.dialled.clear()
@@ -136,7 +136,7 @@
     for _ in range(70):
         rig.run(0.1)
         rig.hear(OTHER)
-        rig.hear(THIRD, start=Incarnation(1, 8))
+        rig.hear(THIRD, incarnation=Incarnation(1, 8))
     assert rig.told[-1].share == pytest.approx(1 / 3)
 
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -85,7 +85,9 @@
     start = Incarnation(
         random_source.choice((1, 1, 1, 2, 3)), PLAN.token(number, random_source.choice((0, 0, 0, 1)))
     )
-    state = random_source.choices((MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT), (12, 4, 2, 1))[0]
+    state = random_source.choices(
+        (MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT), (12, 4, 2, 1)
+    )[0]
     return MemberUpdate(digest(PLAN.listed(number).name), start, state)
 
 
@@ -178,7 +180,10 @@
     assert found.left == expected.left
     kinds = Counter(word.kind for word in found.sent())
     assert min(kinds[k] for k in (MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQUEST)) >= 10
-    assert {news.state for word in found.sent() for news in word.news} >= {MemberState.ALIVE, MemberState.SUSPECT}
+    assert {news.state for word in found.sent() for news in word.updates} >= {
+        MemberState.ALIVE,
+        MemberState.SUSPECT,
+    }
     dialled = sum(what == "dial" for _, what, *_ in found.left)
     assert dialled >= 10 if ports else not dialled
 
--- a/tests/test_scale_members.py
+++ b/tests/test_scale_members.py
@@ -47,7 +47,9 @@
 
 def test_bytes_at_rest_do_not_grow_with_members(settled):
     small, large = settled
-    least = DATAGRAMS_A_SECOND * (HEADER.size + MEMBER_UPDATE.size + CHECKSUM.size)  # what is held of the reader goes along
+    least = DATAGRAMS_A_SECOND * (
+        HEADER.size + MEMBER_UPDATE.size + CHECKSUM.size
+    )  # what is held of the reader goes along
     assert small["bytes"] == pytest.approx(least, rel=ROUNDING)
     assert large["bytes"] <= small["bytes"] * (1.0 + ROUNDING)
 
@@ -65,9 +67,11 @@
     sea.sim.run(sea.sim.now_s + SETTLE_S)
     for peer in sea.peers.values():
         members = peer.members
-        assert len(members.others) == SMALL - 1 and len(members.told) <= SMALL
-        assert len(members.probes) <= 2 and not members.asked_for and not members.unlike
-        assert all(len(word.word.news) <= MAX_UPDATES for word in members.out)
+        assert len(members.others) == SMALL - 1 and len(members.updates.transmissions) <= SMALL
+        assert (
+            len(members.probes.in_flight) <= 2 and not members.probes.relayed and not members.other_peer_lists
+        )
+        assert all(len(action.message.updates) <= MAX_UPDATES for action in members.actions)
 
 
 def test_memory_by_members_is_what_the_slope_says():
