--- a/tests/test_fleet_service.py
+++ b/tests/test_membership_service.py
@@ -70,7 +70,7 @@
             self.reactor.advance(0.1)
 
 
-def test_words_pass_and_an_ask_is_answered():
+def test_messages_pass_and_a_ping_is_answered():
     rig = Rig()
     rig.hear(OTHER, MessageKind.PING, number=77)
     data, to = rig.reactor.sent[-1]
@@ -78,7 +78,7 @@
     assert messages.decode(data).sequence == 77 and rig.state(OTHER) is MemberState.ALIVE
 
 
-def test_what_is_dropped_is_counted_and_said_once():
+def test_what_is_dropped_is_counted_and_logged_once():
     rig = Rig()
     for _ in range(3):
         rig.fleet.datagrams.datagramReceived(b"nonsense", (OTHER.address, OTHER.port))
@@ -113,14 +113,14 @@
     assert rig.state(OTHER) is state  # the first that it is held for after that
 
 
-def test_where_no_ports_may_be_tried_none_is_listened_on_or_dialled():
+def test_where_no_ports_may_be_checked_none_is_listened_on_or_dialled():
     rig = Rig(ports=False)
     rig.hear(OTHER)
     rig.run(30)
     assert rig.reactor.tcp == [] and rig.reactor.dialled == [] and len(rig.reactor.udp) == 1
 
 
-def test_leaving_is_said_before_the_port_refuses():
+def test_leaving_is_announced_before_the_port_refuses():
     rig = Rig()
     rig.hear(OTHER)
     rig.reactor.sent.clear()
@@ -130,7 +130,7 @@
     assert not rig.reactor.getDelayedCalls()
 
 
-def test_the_part_is_told_with_its_end_each_turn():
+def test_the_quota_is_reported_with_its_end_each_turn():
     rig = Rig()
     assert rig.told[0].share == 0.0
     for _ in range(70):
