--- a/petrelway/emulator/membership_simulation.py
+++ b/petrelway/emulator/membership_simulation.py
@@ -11,9 +11,10 @@
 
 from ..fakes.fault_schedule import FaultSchedule
 from ..fakes.in_memory_network import Process, World
+from ..membership.member import MemberEvent
 from ..membership.messages import Message, digest, encode
 from ..membership.quota_lease import QuotaLease, QuotaLeaseHolder
-from ..membership.swim import Action, ActionKind, MemberEvent, MembershipStateMachine, ViewStatus
+from ..membership.swim import Action, ActionKind, MembershipStateMachine, ViewStatus
 from ..routing.types import Part
 
 DIAL_MS = 0.5  # there and back on an idle network
--- a/petrelway/membership/member.py
+++ b/petrelway/membership/member.py
@@ -9,6 +9,7 @@
 
 import math
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from .messages import MEMBER_UPDATE, Incarnation, MemberState, digest
 
@@ -44,6 +45,14 @@
         self.final_pings_left = FINAL_PINGS
 
 
+class MemberEvent(NamedTuple):
+    """Something changed that operators read of; `member` is 0 for this one itself."""
+
+    member: int
+    what: str
+    why: str
+
+
 class MemberTable:
     """All peers of one member, by id and by state, with a digest of the whole view."""
 
--- a/petrelway/membership/swim.py
+++ b/petrelway/membership/swim.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from .dissemination import UpdateQueue
-from .member import Member, MemberTable, is_proved_dead
+from .member import Member, MemberEvent, MemberTable, is_proved_dead
 from .messages import (
     MEMBER_STATE_LABELS,
     Incarnation,
@@ -25,6 +25,7 @@
     MessageKind,
     digest,
 )
+from .own_incarnation import OwnIncarnation
 from .probing import (
     ACK_TIMEOUT_MS,
     INDIRECT_PROBES,
@@ -43,9 +44,6 @@
 UNCERTAIN_MS = 3000.0  # after a pause or a refuted suspicion the own view is uncertain for this time
 EXTRA_PROBES_PER_PERIOD = 8  # pings to unknown members, and final pings to suspects
 RECOVERY_MS = 5000.0  # after a dead member was heard again the others are probed like unknown ones
-INCARNATION_STEP = 4096  # a new process starts so far above an earlier one, which refuted fewer suspicions
-MAX_CONFLICTING_PROCESSES = 16  # other processes under the own name that are remembered
-MAX_INCARNATION = 0xFFFFFFFF  # of 32 bits on the wire
 MAX_EVENTS = 256  # that wait to be logged
 PORT_REFUSED = "its port refuses: the process is gone"
 
@@ -75,14 +73,6 @@
     at_ms: float = 0.0
 
 
-class MemberEvent(NamedTuple):
-    """Something changed that operators read of; `member` is 0 for this one itself."""
-
-    member: int
-    what: str
-    why: str
-
-
 class MembershipStateMachine:
     """One member's view of all."""
 
@@ -93,10 +83,10 @@
         self.own_id = own_id
         self.fleet = fleet
         self.random_source = random_source
-        self.incarnation = Incarnation(1, token)
+        first = Incarnation(1, token)
         self.policy_version = 0  # that this member runs under, as the host sets it
         self.peers_digest = digest(*map(str, sorted([own_id, *peers])))
-        self.table = MemberTable(now, own_id, self.incarnation, peers)
+        self.table = MemberTable(now, own_id, first, peers)
         self.others = self.table.others
         self.by_state = self.table.by_state
         self.updates = UpdateQueue(self.table)
@@ -105,17 +95,12 @@
         self.probes = Probes(self.table, random_source)
         self.port_checks = PortChecks(self.table, now)
         self.other_peer_lists: set[int] = set()  # members that have another list of peers
-        self.yielded = False  # another process has this name, and keeps it
-        self.overridden: dict[
-            int, int
-        ] = {}  # token of another process of this name -> incarnation overridden
         self.pauses = 0
         self.final_pings_left = EXTRA_PROBES_PER_PERIOD
         self.began_ms = now
         self.last_turn_ms = now
         self.next_period_ms = now
         self.last_heard_ms = -math.inf
-        self.last_refuted_ms = -math.inf
         self.last_pause_ms = -math.inf
         self.last_recovered_ms = -math.inf
         self.next_tick_ms = -math.inf
@@ -123,6 +108,17 @@
         self.actions: deque[Action] = deque()
         self.events: deque[MemberEvent] = deque(maxlen=MAX_EVENTS)
         self.counts: Counter[str] = Counter()
+        self.own = OwnIncarnation(first, self.table, self.updates, self.health, self.events, self.counts)
+
+    @property
+    def incarnation(self) -> Incarnation:
+        """This process's own incarnation."""
+        return self.own.current
+
+    @property
+    def yielded(self) -> bool:
+        """Whether another process has this name, and keeps it."""
+        return self.own.yielded
 
     @property
     def view_digest(self) -> int:
@@ -198,7 +194,7 @@
         silent_ms = now - max(self.last_heard_ms, self.began_ms)
         if silent_ms > ISOLATED_AFTER_MS and not self.table.all_proved_dead(now):
             return ViewStatus.ISOLATED
-        if self.yielded or now < max(self.last_pause_ms, self.last_refuted_ms) + UNCERTAIN_MS:
+        if self.yielded or now < max(self.last_pause_ms, self.own.last_refuted_ms) + UNCERTAIN_MS:
             return ViewStatus.UNCERTAIN
         if self.other_peer_lists or self.by_state[MemberState.SUSPECT] or self.by_state[MemberState.UNKNOWN]:
             return ViewStatus.UNCERTAIN
@@ -285,7 +281,7 @@
 
     def _apply_update(self, update: MemberUpdate, sender: Member, now: float) -> None:
         if update.member == self.own_id:
-            self._apply_update_about_self(update, now)
+            self.own.apply(update, now)
             return
         member = self.others.get(update.member)
         if member is None:
@@ -308,45 +304,6 @@
         elif update.state is MemberState.LEFT:
             self.set_state(member, update.incarnation, MemberState.LEFT, now, reason)
 
-    # -- the own incarnation
-
-    def _apply_update_about_self(self, update: MemberUpdate, now: float) -> None:
-        """Refute a suspicion of this process, or override another process of this name."""
-        if update.incarnation.token == self.incarnation.token:
-            self._refute(update, now)
-        elif update.incarnation >= self.incarnation and not self.yielded:
-            self._override(update.incarnation)
-
-    def _refute(self, update: MemberUpdate, now: float) -> None:
-        suspected = update.state in (MemberState.SUSPECT, MemberState.DEAD)
-        if suspected and update.incarnation >= self.incarnation:
-            self.last_refuted_ms = now
-            self.health.worsen()
-            self._raise_incarnation(update.incarnation.number)
-
-    def _override(self, other: Incarnation) -> None:
-        """Take an incarnation far above another process's of this name; only if that one then comes back
-        above this, the lower token yields, so that neither flaps. The last messages of an earlier process,
-        which is dead, are heard late and one by one: they must not look like a living one."""
-        overridden = self.overridden.get(other.token)
-        if overridden is not None and other.number > overridden:  # no dead process has come so far: it lives
-            if not self.counts["two processes"]:
-                self.events.append(MemberEvent(0, "two processes", "another one runs under this name"))
-            self.counts["two processes"] += 1
-            if other.token > self.incarnation.token:
-                self.yielded = True
-                self.events.append(MemberEvent(0, "yielded", "the other process keeps the name"))
-                return
-        if overridden is not None or len(self.overridden) < MAX_CONFLICTING_PROCESSES:
-            self._raise_incarnation(other.number + INCARNATION_STEP)
-            self.overridden[other.token] = self.incarnation.number
-
-    def _raise_incarnation(self, above: int) -> None:
-        before = self.incarnation
-        self.incarnation = Incarnation(min(above + 1, MAX_INCARNATION), before.token)
-        self.table.own_incarnation_changed(before, self.incarnation)
-        self.updates.add(self.own_id)
-
     # -- the passing of time
 
     def _begin_turn(self, now: float) -> None:
--- a/tests/test_membership_swim.py
+++ b/tests/test_membership_swim.py
@@ -20,10 +20,11 @@
     Message,
     MessageKind,
 )
+from petrelway.membership.own_incarnation import INCARNATION_STEP
 from petrelway.membership.probing import PORT_CHECKS_PER_S
 from petrelway.membership.quota_lease import QuotaLeaseHolder
 from petrelway.membership.suspicion import RECENTLY_HEARD_MS
-from petrelway.membership.swim import INCARNATION_STEP, ActionKind, ViewStatus
+from petrelway.membership.swim import ActionKind, ViewStatus
 
 foreign = st.one_of(
     st.builds(
