--- a/petrelway/emulator/quota_model.py
+++ b/petrelway/emulator/quota_model.py
@@ -1,7 +1,7 @@
 """A small system for the explorer: three front ends that try each other's ports, die, start again, stand
 still.
 
-Each move uses the program's own code (`Members.tried`, `Members.heard`, `Parts.held`, the module's
+Each move uses the program's own code (`MembershipStateMachine.port_checked` and `.receive`, `QuotaLeaseHolder.current`, the module's
 `Gate.share`); only what lies between the processes, and the moments, are the explorer's. Times are ms of each
 process's own clock, counted from now, cut off where they no longer matter: so the system has finitely many
 states."""
@@ -15,10 +15,10 @@
 from typing import NamedTuple
 
 from ..membership import quota_lease as parts
-from ..membership import swim as members
-from ..membership.messages import Kind, Start, State, Word
-from ..membership.quota_lease import Parts
-from ..membership.swim import Members
+from ..membership.member import PROOF_MS, is_proved_dead
+from ..membership.messages import Incarnation, MemberState, Message, MessageKind
+from ..membership.quota_lease import QuotaLeaseHolder
+from ..membership.swim import MembershipStateMachine
 from ..routing.rules import Gate
 from ..routing.types import LoadQuotaRule, QuotaShare, SlowStartRule
 
@@ -62,7 +62,7 @@
 
 def beginning(kills: int = 2, starts: int = 2, stops: int = 1, words: int = 1) -> System:
     """All three have been there for long."""
-    one = One(RUNS, parts.WAIT_MS, 1 / SIZE, math.inf, (None,) * SIZE)
+    one = One(RUNS, parts.STARTUP_WAIT_MS, 1 / SIZE, math.inf, (None,) * SIZE)
     return System((one,) * SIZE, frozenset(), kills, starts, stops, words)
 
 
@@ -76,21 +76,21 @@
 def _in_use(one: One) -> float:
     """What the module would go by in this turn, if it has been told nothing since."""
     gate = Gate(SlowStartRule(1, 1, 1, 1), LoadQuotaRule(0, 0, 0), 1.0, 1 / SIZE, random.Random(0), 0.0)
-    gate.quota_share = QuotaShare(one.share, NOW + one.left)
+    gate.part = QuotaShare(one.share, NOW + one.left)
     return gate.share(NOW)
 
 
-def _held(number: int, one: One) -> tuple[Members, Parts]:
+def _held(number: int, one: One) -> tuple[MembershipStateMachine, QuotaLeaseHolder]:
     """The program's own state behind one process."""
     others = [i + 1 for i in range(SIZE) if i != number]
-    m = Members(NOW, number + 1, 1, 1, others, random.Random(0))
+    m = MembershipStateMachine(NOW, number + 1, 1, 1, others, random.Random(0))
     m.last_heard_ms = NOW
     for i, age in enumerate(one.proofs):
         if i != number:
             x = m.others[i + 1]
-            m._hold(x, Start(1, 1), State.ALIVE if age is None else State.FAILED, NOW, "")
+            m.set_state(x, Incarnation(1, 1), MemberState.ALIVE if age is None else MemberState.DEAD, NOW, "")
             x.refused_ms = -math.inf if age is None else NOW - age
-    return m, Parts(NOW - one.age, SIZE)
+    return m, QuotaLeaseHolder(NOW - one.age, SIZE)
 
 
 @cache
@@ -103,14 +103,16 @@
 def _learns(number: int, one: One, whose: int, age: float) -> One:
     """A try that began so long ago was refused."""
     m, p = _held(number, one)
-    m.tried(NOW, whose + 1, NOW - age, True)
+    m.port_checked(NOW, whose + 1, NOW - age, True)
     return _told(number, one, m, p)
 
 
 @cache
 def _hears(number: int, one: One, whom: int) -> One:
     m, p = _held(number, one)
-    m.heard(NOW, whom + 1, Word(Kind.HERE, 1, whom + 1, Start(2, 1), m.peers, 0, 0, 0))
+    m.receive(
+        NOW, whom + 1, Message(MessageKind.ACK, 1, whom + 1, Incarnation(2, 1), m.peers_digest, 0, 0, 0)
+    )
     return _told(number, one, m, p)
 
 
@@ -120,10 +122,10 @@
         remembered.cache_clear()
 
 
-def _told(number: int, one: One, m: Members, p: Parts) -> One:
-    part = p.held(m, NOW).part
+def _told(number: int, one: One, m: MembershipStateMachine, p: QuotaLeaseHolder) -> One:
+    part = p.current(m, NOW).part
     proofs = tuple(
-        None if i == number or not members.proved(m.others[i + 1], NOW) else NOW - m.others[i + 1].refused_ms
+        None if i == number or not is_proved_dead(m.others[i + 1], NOW) else NOW - m.others[i + 1].refused_ms
         for i in range(SIZE)
     )
     return one._replace(share=part.share, left=part.until_ms - NOW, proofs=proofs)
@@ -174,8 +176,8 @@
     for i, one in enumerate(system.ones):
         if one.doing != DEAD:
             step = STEP_MS * RATES[i]
-            proofs = tuple(None if a is None or a + step > members.PROOF_MS else a + step for a in one.proofs)
-            one = one._replace(age=min(one.age + step, parts.WAIT_MS), left=max(0.0, one.left - step))
+            proofs = tuple(None if a is None or a + step > PROOF_MS else a + step for a in one.proofs)
+            one = one._replace(age=min(one.age + step, parts.STARTUP_WAIT_MS), left=max(0.0, one.left - step))
             one = one._replace(proofs=proofs)
             if one.doing == RUNS:
                 one = _turn(i, one)
@@ -183,6 +185,6 @@
     tries = frozenset(
         t._replace(age=t.age + STEP_MS * RATES[t.by])
         for t in system.tries
-        if t.age + STEP_MS * RATES[t.by] <= members.PROOF_MS + STEP_MS
+        if t.age + STEP_MS * RATES[t.by] <= PROOF_MS + STEP_MS
     )
     return system._replace(ones=tuple(ones), tries=tries)
--- a/petrelway/emulator/settled_membership.py
+++ b/petrelway/emulator/settled_membership.py
@@ -11,8 +11,8 @@
 from ..fakes.fault_schedule import FaultSchedule
 from ..fakes.hollow_members import introductions, settle_view
 from ..fakes.in_memory_network import World
-from ..membership.messages import write
-from ..membership.swim import Decision, Verb
+from ..membership.messages import encode
+from ..membership.swim import Action, ActionKind
 from .membership_simulation import Peer, Sea
 
 
@@ -22,9 +22,9 @@
     watched = -1  # the member's number
     watched_bytes = 0
 
-    def carry_out(self, peer: Peer, d: Decision) -> None:
-        if d.verb is Verb.TELL and self.watched in (peer.number, self.numbers[d.member]):
-            self.watched_bytes += len(write(d.word))
+    def carry_out(self, peer: Peer, d: Action) -> None:
+        if d.kind is ActionKind.SEND and self.watched in (peer.number, self.numbers[d.member]):
+            self.watched_bytes += len(encode(d.message))
         super().carry_out(peer, d)
 
     def settle(self) -> None:
@@ -45,9 +45,9 @@
     sea = CountedSea(World(), FaultSchedule(random.Random(seed)), size, seed)
     for number in range(size):
         sea.start(number)
-    starts = [sea.peers[number].members.start for number in range(size)]
+    starts = [sea.peers[number].members.incarnation for number in range(size)]
     for number, peer in sea.peers.items():
         sender = 0 if number else 1
-        for word in introductions(sea.ids, starts, sender, sea.fleet, peer.members.peers):
+        for word in introductions(sea.ids, starts, sender, sea.fleet, peer.members.peers_digest):
             peer.heard(sea.ids[sender], word)
     return sea
--- a/petrelway/gateway/routing_setup.py
+++ b/petrelway/gateway/routing_setup.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..routing.router import FrontEnd
-from ..routing.types import SlowStartRule, LoadingSettings, LoadQuotaRule, FleetPosition
+from ..routing.types import FleetPosition, LoadingSettings, LoadQuotaRule, SlowStartRule
 from .active_policy import make_policy
 
 QUOTA_USE_INTERVAL_MS = 20.0  # uses of an unchanged quota are recorded no more often
--- a/petrelway/gateway/service.py
+++ b/petrelway/gateway/service.py
@@ -14,7 +14,7 @@
 from twisted.application import service
 from twisted.internet import defer, interfaces
 
-from ..membership.service import FleetService, Listed, new_token
+from ..membership.service import MembershipService, PeerAddress, new_incarnation_token
 from ..routing.router import FrontEnd
 from ..sockets.listening import listen_tcp
 from .active_policy import make_policy
@@ -54,7 +54,7 @@
         self.kind = kind
         self.meter = meter
         self.note = note
-        self.fleet: FleetService | None = None
+        self.fleet: MembershipService | None = None
         self.policy = None  # the policy service, where the settings have a section for it
         self.unix_ahead_s = unix_ahead_s
         self.clock_check: interfaces.IDelayedCall | None = None
@@ -129,12 +129,12 @@
     def _join(self, settings, name: str) -> None:
         """Join the peers before anything else listens: whoever finds the port refusing counts on it."""
         dispatcher = self.dispatcher
-        self.fleet = FleetService(
+        self.fleet = MembershipService(
             self.reactor,
-            Listed(name, settings.address, settings.port),
+            PeerAddress(name, settings.address, settings.port),
             settings.fleet,
-            [Listed(member.name, member.address, member.port) for member in settings.members],
-            new_token(),
+            [PeerAddress(member.name, member.address, member.port) for member in settings.members],
+            new_incarnation_token(),
             random.Random(f"{self.sections['front_end'].seed}/{name}/members"),
             self.log,
             lambda part: dispatcher.front_end.quota_share_changed(dispatcher.now(), part),
@@ -171,8 +171,8 @@
             self.log,
             self.note,
         )
-        self.fleet.door = self.policy.listener_factory
-        self.fleet.versions = self.policy.version_seen
+        self.fleet.port_factory = self.policy.listener_factory
+        self.fleet.on_policy_version = self.policy.version_seen
 
     def _policy_from(self, document: str) -> tuple[Any, bool]:
         """Make all that accepting requests under this document needs. Raises ValueError."""
--- a/petrelway/node/peers.py
+++ b/petrelway/node/peers.py
@@ -10,7 +10,7 @@
 
 from twisted.internet import interfaces
 
-from ..membership.service import FleetService, Listed, new_token
+from ..membership.service import MembershipService, PeerAddress, new_incarnation_token
 from ..platform.configuration import Configuration, read_peers
 
 FLEET_NAME = "platform"
@@ -18,7 +18,7 @@
 
 def start_membership(
     reactor: interfaces.IReactorTime, configuration: Configuration, read: Callable[[], bytes], log
-) -> FleetService | None:
+) -> MembershipService | None:
     """Join the peers that the configuration names; None where peers are not permitted.
 
     Only datagrams lead to them here, so no member can be proved dead: members are seen, but the quota of this
@@ -27,9 +27,11 @@
     peers = read_peers(read())
     if peers is None:
         return None
-    members = [Listed(str(endpoint), *endpoint) for endpoint in peers.peers]
-    own_entry = Listed(members[peers.number].name, *peers.listen)
+    members = [PeerAddress(str(endpoint), *endpoint) for endpoint in peers.peers]
+    own_entry = PeerAddress(members[peers.number].name, *peers.listen)
     random_source = random.Random(f"{configuration.seed}/{configuration.name}/members")
-    membership = FleetService(reactor, own_entry, FLEET_NAME, members, new_token(), random_source, log, None)
+    membership = MembershipService(
+        reactor, own_entry, FLEET_NAME, members, new_incarnation_token(), random_source, log, None
+    )
     membership.startService()
     return membership
--- a/petrelway/node/service.py
+++ b/petrelway/node/service.py
@@ -20,7 +20,7 @@
 from ..gateway.function_spec import FunctionSpec
 from ..gateway.outgoing_connections import connector
 from ..gateway.pending_requests import PendingAnswer
-from ..membership.service import FleetService
+from ..membership.service import MembershipService
 from ..platform.client_codec import ClientMessageReader
 from ..platform.configuration import Configuration, Endpoint
 from ..platform.opaque_request import OpaqueRequest
@@ -74,7 +74,7 @@
         self.pulse_call = None
         self.stopping = False
         self.wants_peers = peers
-        self.membership: FleetService | None = None
+        self.membership: MembershipService | None = None
         self.unix_ahead_s = unix_ahead_s
         self.patiently = patiently
         self.library_errors = library_errors if library_errors is not None else Counter()
--- a/petrelway/policy/connections.py
+++ b/petrelway/policy/connections.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ..membership.service import CALLERS_BOUND, Listed
+from ..membership.service import CALLERS_BOUND, PeerAddress
 from ..wire.framing import Frames, WireError
 from .messages import MAX_MESSAGE_BYTES
 
@@ -115,7 +115,7 @@
     noisy = False
     protocol = PeerConnectionProtocol
 
-    def __init__(self, reactor, peer: Listed) -> None:
+    def __init__(self, reactor, peer: PeerAddress) -> None:
         """Connect when there is something to send, not before."""
         self.reactor = reactor
         self.peer = peer
--- a/petrelway/policy/service.py
+++ b/petrelway/policy/service.py
@@ -12,7 +12,8 @@
 
 from twisted.application import service
 
-from ..membership.service import Dial, FleetService
+from ..membership.port_checks import PortCheckFactory
+from ..membership.service import MembershipService
 from . import state_machine
 from .change_coordinator import ProbePort
 from .connections import CONNECT_TIMEOUT_S, PeerConnectionFactory, PolicyListenerFactory
@@ -41,7 +42,7 @@
     def __init__(
         self,
         reactor,
-        fleet: FleetService,
+        fleet: MembershipService,
         initial_voters: list[str],
         file: str,
         initial_policy: PreparedPolicy,
@@ -148,8 +149,8 @@
         self._schedule_pull()
 
     def _report_members_gone(self) -> None:
-        proved = self.fleet.members.proved(self.now())
-        began_ms = {self.fleet.peers[member.id].name: member.refused_ms for member in proved}
+        proved_dead = self.fleet.members.proved_dead(self.now())
+        began_ms = {self.fleet.peers[member.id].name: member.refused_ms for member in proved_dead}
         self.member.members_gone(self.now(), began_ms)
 
     def _log_events(self) -> None:
@@ -195,7 +196,7 @@
                 self.pull()
 
         peer = connection.peer
-        self.reactor.connectTCP(peer.address, peer.port, Dial(done), timeout=CONNECT_TIMEOUT_S)
+        self.reactor.connectTCP(peer.address, peer.port, PortCheckFactory(done), timeout=CONNECT_TIMEOUT_S)
 
     # -- what holds
 
@@ -206,7 +207,7 @@
             return max(MIN_WAIT_MS, retry_ms)
         if policy is not self.policy:
             self.policy = policy
-            self.fleet.members.version = policy.version
+            self.fleet.members.policy_version = policy.version
             self.on_adopted(policy)
         return 0.0
 
--- a/petrelway/scenarios/runner.py
+++ b/petrelway/scenarios/runner.py
@@ -139,7 +139,7 @@
     return {"fleet": "rehearsed", "port": ports[number], "members": members}
 
 
-class Part(protocol.ProcessProtocol):
+class QuotaShare(protocol.ProcessProtocol):
     """One process; its words go to a file."""
 
     def __init__(self, name: str, folder: Path) -> None:
@@ -188,22 +188,22 @@
         self.plan = Plan(folder)
         self.files = write_fronts(self.plan, tree, level)
         self.record = self.plan.record("conductor", reactor)
-        self.fronts: dict[int, Part] = {}
-        self.parts: list[Part] = []
+        self.fronts: dict[int, QuotaShare] = {}
+        self.parts: list[QuotaShare] = []
         self.failed: list[str] = []
         self.front_cpu_s = 0.0
         self.calls: list = []
-        self.workers: dict[int, Part] = {}
+        self.workers: dict[int, QuotaShare] = {}
         self.starts = self.front_starts = 0
 
-    def _spawn(self, name: str, *words: str) -> Part:
-        part = Part(name, self.folder)
+    def _spawn(self, name: str, *words: str) -> QuotaShare:
+        part = QuotaShare(name, self.folder)
         self.reactor.spawnProcess(part, sys.executable, [sys.executable, "-m", "petrelway", *words], env=None)
         self.parts.append(part)
         part.ended.addCallback(self._ended, part)
         return part
 
-    def _ended(self, how: str, part: Part) -> None:
+    def _ended(self, how: str, part: QuotaShare) -> None:
         if how:
             self.failed.append(f"{part.name}: {how} (see {part.path.name})")
         if part.name.startswith("front-"):
@@ -344,7 +344,7 @@
         elif part.transport.pid is not None:
             part.transport.signalProcess(signal.SIGSTOP if what == "stop" else signal.SIGCONT)
 
-    def _end_front(self, part: Part, how: str) -> None:
+    def _end_front(self, part: QuotaShare, how: str) -> None:
         if part.transport.pid is None:
             return
         part.measure()
--- a/tests/test_fleet_service.py
+++ b/tests/test_membership_service.py
@@ -10,14 +10,14 @@
 from twisted.python.failure import Failure
 
 from petrelway.fakes.platform_peers import SETTINGS, configuration
-from petrelway.membership import messages as words
-from petrelway.membership.messages import Kind, Start, State, Word, digest
-from petrelway.membership.service import FleetService, Listed
+from petrelway.membership import messages
+from petrelway.membership.messages import Incarnation, MemberState, Message, MessageKind, digest
+from petrelway.membership.service import MembershipService, PeerAddress
 from petrelway.node.service import NodeService
 from petrelway.platform.configuration import read_configuration, read_peers
 from petrelway.platform.errors import ProtocolError
 
-ME, OTHER, THIRD = (Listed(name, f"10.0.0.{i}", 7946) for i, name in enumerate("abc", 1))
+ME, OTHER, THIRD = (PeerAddress(name, f"10.0.0.{i}", 7946) for i, name in enumerate("abc", 1))
 
 
 class Closing:
@@ -51,16 +51,16 @@
     def __init__(self, ports=True):
         self.reactor, self.log, self.told = Sockets(), Log(), []
         self.reactor.advance(1000.0)
-        self.fleet = FleetService(
+        self.fleet = MembershipService(
             self.reactor, ME, "f", [OTHER, THIRD], 5, random.Random(1), self.log,
             self.told.append if ports else None,
         )  # fmt: skip
         self.fleet.startService()
 
-    def hear(self, peer, kind=Kind.HERE, start=Start(1, 9), number=0, fleet="f"):
-        peers = self.fleet.members.peers
-        word = Word(kind, digest(fleet), digest(peer.name), start, peers, 0, number, 0)
-        self.fleet.datagrams.datagramReceived(words.write(word), (peer.address, peer.port))
+    def hear(self, peer, kind=MessageKind.ACK, incarnation=Incarnation(1, 9), number=0, fleet="f"):
+        peers = self.fleet.members.peers_digest
+        message = Message(kind, digest(fleet), digest(peer.name), incarnation, peers, 0, number, 0)
+        self.fleet.datagrams.datagramReceived(messages.encode(message), (peer.address, peer.port))
 
     def state(self, peer):
         return self.fleet.members.others[digest(peer.name)].state
@@ -70,15 +70,15 @@
             self.reactor.advance(0.1)
 
 
-def test_words_pass_and_an_ask_is_answered():
+def test_messages_pass_and_a_ping_is_answered():
     rig = Rig()
-    rig.hear(OTHER, Kind.ASK, number=77)
+    rig.hear(OTHER, MessageKind.PING, number=77)
     data, to = rig.reactor.sent[-1]
-    assert to == (OTHER.address, OTHER.port) and words.read(data)[0] is Kind.HERE
-    assert words.read(data).number == 77 and rig.state(OTHER) is State.ALIVE
+    assert to == (OTHER.address, OTHER.port) and messages.decode(data)[0] is MessageKind.ACK
+    assert messages.decode(data).sequence == 77 and rig.state(OTHER) is MemberState.ALIVE
 
 
-def test_what_is_dropped_is_counted_and_said_once():
+def test_what_is_dropped_is_counted_and_logged_once():
     rig = Rig()
     for _ in range(3):
         rig.fleet.datagrams.datagramReceived(b"nonsense", (OTHER.address, OTHER.port))
@@ -87,16 +87,16 @@
     counts = rig.fleet.figures()
     assert counts["length"] == 3 and counts["no peer's address"] == 3 and counts["another fleet"] == 1
     assert sum("datagram dropped" in str(line) for line in rig.log.lines) == 2
-    assert rig.state(OTHER) is State.UNHEARD
+    assert rig.state(OTHER) is MemberState.UNKNOWN
 
 
 @pytest.mark.parametrize(
     "how, state",
     [
-        (error.ConnectionRefusedError(), State.FAILED),
-        (error.TimeoutError(), State.SUSPECTED),
-        (error.NoRouteError(), State.SUSPECTED),
-        (error.ConnectionLost(), State.SUSPECTED),
+        (error.ConnectionRefusedError(), MemberState.DEAD),
+        (error.TimeoutError(), MemberState.SUSPECT),
+        (error.NoRouteError(), MemberState.SUSPECT),
+        (error.ConnectionLost(), MemberState.SUSPECT),
     ],
 )
 def test_only_a_refused_port_is_a_proof(how, state):
@@ -104,39 +104,39 @@
     rig.hear(OTHER)
     for _ in range(200):
         rig.run(0.1)
-        rig.hear(THIRD, start=Start(1, 8))
+        rig.hear(THIRD, incarnation=Incarnation(1, 8))
         for _, dial in rig.reactor.dialled:
             dial.clientConnectionFailed(None, Failure(how))
         rig.reactor.dialled.clear()
-        if rig.state(OTHER) is not State.ALIVE:
+        if rig.state(OTHER) is not MemberState.ALIVE:
             break
     assert rig.state(OTHER) is state  # the first that it is held for after that
 
 
-def test_where_no_ports_may_be_tried_none_is_listened_on_or_dialled():
+def test_where_no_ports_may_be_checked_none_is_listened_on_or_dialled():
     rig = Rig(ports=False)
     rig.hear(OTHER)
     rig.run(30)
     assert rig.reactor.tcp == [] and rig.reactor.dialled == [] and len(rig.reactor.udp) == 1
 
 
-def test_leaving_is_said_before_the_port_refuses():
+def test_leaving_is_announced_before_the_port_refuses():
     rig = Rig()
     rig.hear(OTHER)
     rig.reactor.sent.clear()
     rig.fleet.stopService()
-    assert [words.read(data).kind for data, _ in rig.reactor.sent] == [Kind.LEAVING]
+    assert [messages.decode(data).kind for data, _ in rig.reactor.sent] == [MessageKind.LEAVE]
     assert not rig.reactor.tcp[0].open and not rig.reactor.udp[0].open
     assert not rig.reactor.getDelayedCalls()
 
 
-def test_the_part_is_told_with_its_end_each_turn():
+def test_the_quota_is_reported_with_its_end_each_turn():
     rig = Rig()
     assert rig.told[0].share == 0.0
     for _ in range(70):
         rig.run(0.1)
         rig.hear(OTHER)
-        rig.hear(THIRD, start=Start(1, 8))
+        rig.hear(THIRD, incarnation=Incarnation(1, 8))
     assert rig.told[-1].share == pytest.approx(1 / 3)
 
 
