--- a/petrelway/gateway/dispatcher.py
+++ b/petrelway/gateway/dispatcher.py
@@ -15,15 +15,12 @@
 
 from ..common.endpoint_entry import EndpointEntry
 from ..common.index_table import IndexTable
-from ..common.start_times import StartTimes
 from ..routing.router import FrontEnd
 from ..routing.types import (
     Capabilities,
     Decision,
-    Endpoint,
     Outcome,
     RequestClass,
-    Stage,
     Tenant,
     Verb,
     Warmth,
@@ -33,11 +30,12 @@
 from .attempt_ledger import AttemptKey
 from .attempt_reasons import why_sent
 from .executor_channel import ExecutorChannel
+from .executor_directory import ExecutorDirectory
 from .function_spec import FunctionSpec
 from .observers import RequestObserver
 from .pending_requests import AttemptInFlight, LoadRequestInFlight, PendingAnswer, PendingRequest
+from .reactor_turns import ReactorTurns
 
-STAGES = {"ready": Stage.READY, "draining": Stage.DRAINING, "gone": Stage.GONE}
 DECISION_FAILURES_BOUND = 50  # decisions that may fail in one turn before every unanswered request fails
 DECISION_RETRY_MS = 100.0  # and then decisions are pulled again
 
@@ -77,20 +75,10 @@
         self.log = log
         self.meter = meter
         self.make_channel = make_channel
-        self.unix_ahead_s = unix_ahead_s
-        self.starts = StartTimes()
         self.deciding_s = 0.0
         self.requests = IndexTable()
-        self.executors = IndexTable()
         self.functions = IndexTable()
-        self.zones = IndexTable()
-        self.machines = IndexTable()
-        for zone in zones:
-            self.zones.add(zone)
-        for machine in machines:
-            self.machines.add(machine)
         self.pending: dict[int, PendingRequest] = {}  # by the request's index
-        self.channels: dict[int, ExecutorChannel] = {}  # by the executor's index
         self.known_functions: dict[int, FunctionSpec] = {}  # by the function's index
         self.load_requests: dict[int, LoadRequestInFlight] = {}  # by the id that executors are given
         self.serial = 0
@@ -98,10 +86,13 @@
         self.unanswered = 0
         self.unanswered_bytes = 0  # bodies of requests without a final answer
         self.counts: Counter[str] = Counter()
-        self.turn_call: interfaces.IDelayedCall | None = None
-        self.wake_call: interfaces.IDelayedCall | None = None
-        self.in_turn = False
-        self.turn_ms: float | None = None  # the present, while a turn goes on
+        self.directory = ExecutorDirectory(
+            front_end, zones, machines, self._open_channel, unix_ahead_s, self.counts, log
+        )
+        self.executors = self.directory.executors
+        self.zones = self.directory.zones
+        self.channels = self.directory.channels
+        self.turns = ReactorTurns(clock, self._pull_decisions, self._release, self._time_passed, self.counts)
         self.idle: defer.Deferred[None] | None = None
         self.observer: RequestObserver | None = None
         self.decision_handlers: dict[Verb, Callable[[Decision, float], None]] = {
@@ -116,11 +107,8 @@
         }
 
     def now(self) -> float:
-        """Return the present in ms; within a turn its beginning.
-
-        What ends in a turn must not be later than what it decides: if the present moved on, a turn in which
-        much becomes due would never end."""
-        return self.clock.seconds() * 1e3 if self.turn_ms is None else self.turn_ms
+        """Return the present in ms; within a turn its beginning."""
+        return self.turns.now()
 
     # -- inputs
 
@@ -180,7 +168,7 @@
         self.front_end.request_taken(
             now, index, request_class, tenant, function_index, remaining_ms, cost_estimate_ms, repeat
         )
-        self._schedule_turn()
+        self.turns.schedule()
         return answer
 
     def _function_index(self, function: FunctionSpec, now: float) -> int:
@@ -197,35 +185,9 @@
         """Follow the registry's endpoint list; each executor that it names gets a channel."""
         self.check_wall_clock()
         now = self.now()
-        endpoints = []
-        for entry in entries:
-            if entry.stage == "gone" and entry.executor not in self.executors.indices:
-                continue
-            endpoints.append(self._endpoint_listed(entry, now))
+        endpoints = self.directory.listed(entries, now, self.observer)
         self.front_end.executors_listed(now, endpoints, complete)
-        self._schedule_turn()
-
-    def _endpoint_listed(self, entry: EndpointEntry, now: float) -> Endpoint:
-        index, new = self.executors.add(entry.executor)
-        started_ms = self.starts.own_ms(now, entry.executor, entry.started_ms)
-        if self.observer is not None:
-            self._report_change(now, index, entry, started_ms)
-        endpoint = Endpoint(
-            index,
-            entry.executor,
-            self.zones.add(entry.zone)[0],
-            self.machines.add(entry.machine)[0],
-            entry.cell,
-            STAGES[entry.stage],
-            entry.weight,
-            started_ms,
-        )
-        if new:
-            self.channels[index] = self._open_channel(index, entry)
-        else:
-            self.channels[index].moved(entry.address, entry.port)
-            self.channels[index].restarted(entry.started_ms, started_ms)
-        return endpoint
+        self.turns.schedule()
 
     def _open_channel(self, index: int, entry: EndpointEntry) -> ExecutorChannel:
         return self.make_channel(
@@ -244,23 +206,7 @@
 
     def check_wall_clock(self) -> None:
         """After a step of the wall clock, map the listed start times to this process's clock anew."""
-        ahead_s = self.unix_ahead_s()
-        if not self.starts.unix_ahead(ahead_s * 1e3):
-            return
-        self.counts["wall clock stepped"] += 1
-        self.log.warning("wall clock stepped", ahead_s=round(ahead_s, 3))
-        now = self.now()
-        for executor, started_ms in self.starts.all_own_ms().items():
-            self.front_end.start_told(now, self.executors.indices[executor], started_ms)
-
-    def _report_change(self, now: float, index: int, entry: EndpointEntry, started_ms: float) -> None:
-        known = self.front_end.executors.get(index)
-        if known is None:
-            self.observer.changed(now, "executor listed", f"{entry.executor} {entry.stage} in {entry.zone}")
-        elif known.endpoint.stage is not STAGES[entry.stage]:
-            self.observer.changed(now, f"executor {entry.stage}", entry.executor)
-        elif started_ms > known.endpoint.started_ms:
-            self.observer.changed(now, "executor restarted", entry.executor)
+        self.directory.check_wall_clock(self.now())
 
     def attempt_ended(
         self,
@@ -295,7 +241,7 @@
         self.front_end.attempt_ended(
             now, request.index, number, outcome, took_ms, request.answer is None, Warmth(warmth)
         )
-        self._schedule_turn()
+        self.turns.schedule()
 
     def _request(self, serial: int) -> PendingRequest | None:
         return self.pending.get(self.requests.indices.get(serial, -1))
@@ -325,7 +271,7 @@
         self.front_end.load_request_answered(
             now, found.executor, found.function, outcome, replicas, now - found.sent_ms
         )
-        self._schedule_turn()
+        self.turns.schedule()
 
     def probe_answered(self, executor: int, probe: int, outcome: Outcome, load: codec.Load) -> None:
         """Count an answered health check; the routing core asks for none yet."""
@@ -338,7 +284,7 @@
         if self.observer is not None:
             self.observer.answered(self.now(), request.serial, "gone")
         self.front_end.client_gone(self.now(), request.index)
-        self._schedule_turn()
+        self.turns.schedule()
 
     def _forget_answer(self, request: PendingRequest) -> PendingAnswer | None:
         """No answer is due any more; the body goes too, since late outcomes may be long in coming."""
@@ -351,39 +297,12 @@
     def _abandon(self, request: PendingRequest) -> None:
         self.counts["given up for its connection"] += 1
         self.front_end.request_given_up(self.now(), request.index)
-        self._schedule_turn()
+        self.turns.schedule()
 
     # -- the turn
 
-    def _schedule_turn(self) -> None:
-        if self.turn_call is None and not self.in_turn:
-            self.turn_call = self.clock.callLater(0, self._turn)
-
-    def _woken(self) -> None:
-        """Decide in a turn of its own: after a process pause a client's leaving, or an answer, lies unread,
-        and the sockets have to be read before anything is decided."""
-        self.wake_call = None
+    def _time_passed(self) -> None:
         self.front_end.time_passed(self.now())
-        self._schedule_turn()
-
-    def _turn(self) -> None:
-        """Pull decisions until there is none."""
-        if self.turn_call is not None and self.turn_call.active():
-            self.turn_call.cancel()
-        self.turn_call = None
-        self.in_turn = True
-        self.turn_ms = self.now()
-        pulled = False
-        try:
-            self._pull_decisions(self.turn_ms)
-            pulled = True
-        finally:
-            self.in_turn = False
-            self.turn_ms = None
-            if not pulled:  # without another turn nobody would get an answer any more
-                self.counts["turn failed"] += 1
-                self._schedule_turn()
-        self._release()
 
     def _pull_decisions(self, now: float) -> None:
         failures = 0
@@ -395,7 +314,7 @@
                 failures += 1
                 if not self._decision_failed(error, failures):
                     # no wake-up was asked for: without this one what is left would wait for ever
-                    self._wake_at(now + DECISION_RETRY_MS, now)
+                    self.turns.wake_at(now + DECISION_RETRY_MS, now)
                     return
                 continue
             finally:
@@ -412,13 +331,10 @@
             request = self.pending.pop(index)
             if self.observer is not None:
                 self.observer.released(request.serial)
-        for index in free.executors:
-            self.starts.forget(self.executors.outside_ids[index])
-            self.channels.pop(index).close()
+        self.directory.release(free.executors)
         for index in free.functions:
             del self.known_functions[index]
         self.requests.release(free.requests)
-        self.executors.release(free.executors)
         self.functions.release(free.functions)
 
     def _decision_failed(self, error: Exception, failures: int) -> bool:
@@ -476,7 +392,7 @@
         self._send(self.pending[decision.request], decision.executor, decision.ms, now)
 
     def _carry_out_wake(self, decision: Decision, now: float) -> None:
-        self._wake_at(decision.ms, now)
+        self.turns.wake_at(decision.ms, now)
 
     def _carry_out_reject(self, decision: Decision, now: float) -> None:
         self._answer(self.pending[decision.request], Answer(Completion.REJECTED, decision.ms))
@@ -560,11 +476,6 @@
             channel.forget_load_request(load_request_id)
         self.load_request_answered(executor, load_request_id, Outcome.TIMEOUT, 0)
 
-    def _wake_at(self, wake_ms: float, now: float) -> None:
-        if self.wake_call is not None and self.wake_call.active():
-            self.wake_call.cancel()
-        self.wake_call = self.clock.callLater(max(0.0, wake_ms - now) / 1e3, self._woken)
-
     def _answer(self, request: PendingRequest, answer: Answer) -> None:
         """Fire a request's Deferred, once; nothing else does."""
         if request.answer is None:
@@ -601,13 +512,10 @@
     def close(self) -> None:
         """Cancel what is in flight and leave all executors."""
         self.fail_all()
-        load_timers = [load_request.timer for load_request in self.load_requests.values()]
-        for call in (self.turn_call, self.wake_call, *load_timers):
-            if call is not None and call.active():
-                call.cancel()
-        self.turn_call = None
-        self.wake_call = None
-        self.in_turn = True  # no further turn
+        self.turns.stop()
+        for load_request in self.load_requests.values():
+            if load_request.timer is not None and load_request.timer.active():
+                load_request.timer.cancel()
         for request in list(self.pending.values()):
             for number in sorted(request.in_flight):
                 self._cancel_attempt(request, number)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -55,7 +55,7 @@
 def test_a_step_is_said_once_and_cuts_no_connection():
     rig = Rig(1)
     ahead_s = [0.0]
-    rig.dispatcher.unix_ahead_s = lambda: ahead_s[0]
+    rig.dispatcher.directory.unix_ahead_s = lambda: ahead_s[0]
     started_ms = rig.dispatcher.now()
     listed(rig, started_ms)
     rig.step(2000.0)
@@ -76,7 +76,7 @@
 def test_the_decisions_hear_the_later_start():
     rig = Rig(1)
     ahead_s = [0.0]
-    rig.dispatcher.unix_ahead_s = lambda: ahead_s[0]
+    rig.dispatcher.directory.unix_ahead_s = lambda: ahead_s[0]
     heard_ms = rig.dispatcher.now()
     listed(rig, heard_ms - 8_000.0)
     rig.step(500.0)
@@ -91,4 +91,4 @@
     listed(rig, rig.dispatcher.now())
     rig.lists({0: "gone"})
     rig.step(8_000.0)
-    assert rig.dispatcher.starts.all_own_ms() == {} and Log
+    assert rig.dispatcher.directory.starts.all_own_ms() == {} and Log
