--- a/petrelway/emulator/quota_model.py
+++ b/petrelway/emulator/quota_model.py
@@ -76,7 +76,7 @@
 def _in_use(one: One) -> float:
     """What the module would go by in this turn, if it has been told nothing since."""
     gate = Gate(SlowStartRule(1, 1, 1, 1), LoadQuotaRule(0, 0, 0), 1.0, 1 / SIZE, random.Random(0), 0.0)
-    gate.part = QuotaShare(one.share, NOW + one.left)
+    gate.quota_share = QuotaShare(one.share, NOW + one.left)
     return gate.share(NOW)
 
 
--- a/petrelway/policy/connections.py
+++ b/petrelway/policy/connections.py
@@ -13,7 +13,8 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ..membership.service import CALLERS_BOUND, PeerAddress
+from ..membership.port_checks import MAX_PORT_CONNECTIONS
+from ..membership.service import PeerAddress
 from ..wire.framing import Frames, WireError
 from .messages import MAX_MESSAGE_BYTES
 
@@ -75,7 +76,7 @@
         self.on_payload = on_payload
         self.on_dropped = on_dropped
         self.connections: set[PolicyListenerProtocol] = set()
-        self.max_connections = CALLERS_BOUND + 2 * members
+        self.max_connections = MAX_PORT_CONNECTIONS + 2 * members
 
     def close(self) -> None:
         """Abort all connections."""
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -127,7 +127,7 @@
     assert ports
     me = PLAN.listed(ME)
     dispatcher = SimpleNamespace(now=lambda: reactor.seconds() * 1e3, front_end=SimpleNamespace())
-    dispatcher.front_end.part_told = lambda now, part: None
+    dispatcher.front_end.quota_share_changed = lambda now, part: None
     sections = {"front_end": SimpleNamespace(seed=PLAN.seed, name=me.name)}
     front = SimpleNamespace(
         reactor=reactor,
