--- a/benchmarks/capacity_front_end_rig.py
+++ b/benchmarks/capacity_front_end_rig.py
@@ -1,6 +1,6 @@
 """One front end's decision module under the hand of the benchmark: its fleet, turns, CPU and memory.
 
-Stands in the place of the host: it gives inputs to `petrelway.routing.router.FrontEnd` and pulls decisions until
+Stands in the place of the dispatcher: inputs to `petrelway.routing.router.FrontEnd` and pulls decisions until
 there is none, in simulated time. Only the module's public inputs are used.
 """
 
@@ -81,7 +81,7 @@
     """For each size the median of REPEATS measurements. All sizes are measured in turn, so that a time in
     which others load the machine falls on all of them."""
     rounds = [[measure(size) for size in sizes] for _ in range(REPEATS)]
-    return [(size, statistics.median(found)) for size, *found in zip(sizes, *rounds)]
+    return [(size, statistics.median(found)) for size, *found in zip(sizes, *rounds, strict=False)]
 
 
 def traced_bytes() -> int:
--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -25,7 +25,7 @@
     UNDER_MEASUREMENT,
     FleetRig,
     HollowProcess,
-    NotReached,
+    NotReachedError,
     Window,
     quiet_window,
     wait_for_cores,
@@ -64,7 +64,7 @@
 
 def fleet_at(size: int, attempt: int, ports: bool, found: dict[str, float]) -> None:
     """One fleet through its start, rest, the loss of a rack and, without ports, a new member. `found` gets
-    what each of these costs as it ends. Raises NotReached."""
+    what each of these costs as it ends. Raises NotReachedError."""
     wait_for_cores(min(HOLLOW_PROCESSES, size * MEMBER_CORES))
     wait_for_memory(size * size * MEMBER_BYTES + (HOLLOW_PROCESSES + UNDER_MEASUREMENT + 2) * PROCESS_BYTES)
     rig = FleetRig(size, attempt, ports)
@@ -100,7 +100,7 @@
 
 
 def wait_until_settled(rig: FleetRig) -> None:
-    """Until all hold all alive and every view agrees. Raises NotReached."""
+    """Until all hold all alive and every view agrees. Raises NotReachedError."""
     deadline_s = time.monotonic() + SETTLED_BOUND_S
     while True:
         time.sleep(SETTLE_S)
@@ -110,7 +110,9 @@
         if fewest == rig.size - 1 and len(views) == 1 and max(report.views for report in reports) == 1:
             return
         if time.monotonic() > deadline_s:
-            raise NotReached(f"not settled: a member holds {fewest} of {rig.size - 1} alive, or views differ")
+            raise NotReachedError(
+                f"not settled: a member holds {fewest} of {rig.size - 1} alive, or views differ"
+            )
 
 
 def lose_rack(rig: FleetRig, found: dict[str, float]) -> None:
@@ -127,9 +129,11 @@
         if detected_s is None and all_hold_failed(rig):
             detected_s = passed_s
         if passed_s > DETECTION_BOUND_S:
-            raise NotReached(f"a rack of {rig.rack_size} was not detected within {DETECTION_BOUND_S:.0f} s")
+            raise NotReachedError(
+                f"a rack of {rig.rack_size} was not detected within {DETECTION_BOUND_S:.0f} s"
+            )
     if max(report.failed_most for report in rig.ask(rig.staying())) > rig.rack_size:
-        raise NotReached("a member that lives was held failed")
+        raise NotReachedError("a member that lives was held failed")
     found["rack_cpu"] = cost.cpu_us_s
     found["rack_bytes"] = cost.bytes_s
     found["rack_messages"] = cost.messages_s
@@ -157,7 +161,9 @@
         if report.alive_least >= living and not report.unheard_most:
             break
         if report.uptime_s > JOIN_BOUND_S:
-            raise NotReached(f"a new member knew {report.alive_least} of {living} after {JOIN_BOUND_S:.0f} s")
+            raise NotReachedError(
+                f"a new member knew {report.alive_least} of {living} after {JOIN_BOUND_S:.0f} s"
+            )
         time.sleep(POLL_S)
     found["join_s"] = report.uptime_s
     found["join_bytes"] = report.traffic.sent_bytes + report.traffic.received_bytes
@@ -182,7 +188,7 @@
                     flush=True,
                 )
                 break
-            except NotReached as fault:
+            except NotReachedError as fault:
                 print(f"  {size} members on loopback, attempt {attempt} ended early: {fault}", flush=True)
         for name, cost in found.items():
             if name in QUANTITIES:
@@ -234,10 +240,10 @@
 def measure_alone(sizes: tuple[int, ...]) -> Points:
     wait_for_memory(2 * PROCESS_BYTES + 4 * max(sizes) * MEMBER_BYTES)
     points: Points = defaultdict(list)
-    for size, (traced, grown) in zip(sizes, in_processes(memory_at, sizes, 1)):
+    for size, (traced, grown) in zip(sizes, in_processes(memory_at, sizes, 1), strict=False):
         points["memory"].append((size, traced))
         points["resident"].append((size, grown))
-    for size, cpu_us_s in zip(sizes, in_processes(alone_at, sizes, 2)):
+    for size, cpu_us_s in zip(sizes, in_processes(alone_at, sizes, 2), strict=False):
         points["cpu_alone"].append((size, cpu_us_s))
     return points
 
--- a/benchmarks/capacity_members_emulated.py
+++ b/benchmarks/capacity_members_emulated.py
@@ -87,7 +87,7 @@
     sizes = QUICK_SIZES if quick else SIZES
     points: Points = defaultdict(list)
     with multiprocessing.get_context("spawn").Pool(1, maxtasksperchild=1) as pool:
-        for size, found in zip(sizes, pool.imap(emulated_at, sizes)):
+        for size, found in zip(sizes, pool.imap(emulated_at, sizes), strict=False):
             for name, cost in found.items():
                 points[name].append((size, cost))
             print(f"  {size} members emulated", flush=True)
--- a/benchmarks/capacity_ranking.py
+++ b/benchmarks/capacity_ranking.py
@@ -160,7 +160,7 @@
     print(f"first call of a function; the window holds {ranking.WINDOW}; medians of {REPEATS}")
     found = {mode: [first_call(width, size) for size in FIRST_CALL_SIZES] for mode, width in WIDTH_OF.items()}
     for mode, rows in found.items():
-        for size, row in zip(FIRST_CALL_SIZES, rows):
+        for size, row in zip(FIRST_CALL_SIZES, rows, strict=False):
             print(
                 f"{mode:10} {size:6} executors: CPU {row.cpu_us:9.1f} us, ranks computed {row.ranks:8.1f},"
                 f" memory {row.memory_bytes:9.0f} B",
@@ -205,7 +205,7 @@
     found = tree(size.front_ends, size.executors, size.rate, DAY_SECONDS, size.functions)
     found["day"]["seed"] = seed
     found["functions"]["zipf"] = 0.8
-    for kind, cores in zip(found["fleet"]["kinds"], (2, 1)):
+    for kind, cores in zip(found["fleet"]["kinds"], (2, 1), strict=False):
         kind["cores"] = cores
     return found
 
@@ -264,7 +264,7 @@
     for size in sizes:
         before, after = by[size, WHOLE_LIST], by[size, WINDOW]
         for field in ("service", "in_time", "found", "cold_p99_ms", "p99_ms", "loads"):
-            more = [float(getattr(b, field) - getattr(a, field)) for a, b in zip(before, after)]
+            more = [float(getattr(b, field) - getattr(a, field)) for a, b in zip(before, after, strict=False)]
             print(
                 f"{size.front_ends} front ends, {size.executors} executors: {field}, window less whole list,"
                 f" {describe(more)}; {len(more)} seeds"
--- a/benchmarks/hollow_rig.py
+++ b/benchmarks/hollow_rig.py
@@ -26,7 +26,7 @@
 WINDOWS_TRIED = 3  # at rest: other work on the machine may stop a process for a moment
 
 
-class NotReached(Exception):
+class NotReachedError(Exception):
     """This size can't be measured here; the text says why in one line."""
 
 
@@ -35,16 +35,16 @@
     for line in Path("/proc/meminfo").read_text().splitlines():
         if line.startswith("MemAvailable:"):
             return int(line.split()[1]) / 1024
-    raise NotReached("the system does not tell its available memory")
+    raise NotReachedError("the system does not tell its available memory")
 
 
 def wait_for_memory(needed_bytes: float) -> None:
-    """Until so much can be taken and MEMORY_LEFT_MIB stay. Raises NotReached."""
+    """Until so much can be taken and MEMORY_LEFT_MIB stay. Raises NotReachedError."""
     deadline_s = time.monotonic() + MEMORY_WAIT_S
     needed_mib = needed_bytes / 2**20
     while available_mib() - needed_mib < MEMORY_LEFT_MIB:
         if time.monotonic() > deadline_s:
-            raise NotReached(
+            raise NotReachedError(
                 f"{needed_mib:.0f} MiB needed, {available_mib():.0f} available, {MEMORY_LEFT_MIB} stay"
             )
         time.sleep(1.0)
@@ -85,10 +85,10 @@
         self._child = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
 
     def read(self) -> Report:
-        """The next report. Raises NotReached if the process has ended."""
+        """The next report. Raises NotReachedError if the process has ended."""
         line = self._child.stdout.readline()
         if not line:
-            raise NotReached(f"a process of hollow members ended with {self._child.wait()}")
+            raise NotReachedError(f"a process of hollow members ended with {self._child.wait()}")
         return msgspec.json.decode(line, type=Report)
 
     def write(self, command: str) -> None:
@@ -115,7 +115,7 @@
         self.size, self.rack_size = size, rack_of(size)
         first = FIRST_OF_RACK + self.rack_size
         bounds = [first + (size - first) * part // HOLLOW_PROCESSES for part in range(HOLLOW_PROCESSES + 1)]
-        groups = [range(a, b) for a, b in zip(bounds, bounds[1:])]
+        groups = [range(a, b) for a, b in zip(bounds, bounds[1:], strict=False)]
         singles = [range(number, number + 1) for number in range(FIRST_OF_RACK)]
         self.measured = [HollowProcess(self.plan, numbers, ports) for numbers in singles]
         self.hollow = [HollowProcess(self.plan, numbers, ports) for numbers in groups]
@@ -165,18 +165,25 @@
         self._began_s = time.monotonic()
 
     def close(self) -> WindowCost:
-        """Raises NotReached if a member stood still meanwhile."""
+        """Raises NotReachedError if a member stood still meanwhile."""
         after = self._rig.ask(self._rig.staying())
         span_s = time.monotonic() - self._began_s
-        pauses = sum(a.pauses - b.pauses for a, b in zip(after, self._before))
+        pauses = sum(a.pauses - b.pauses for a, b in zip(after, self._before, strict=False))
         lag_ms = max(report.lag_ms for report in after)
         if pauses:
-            raise NotReached(f"members stood still {pauses} times in {span_s:.0f} s, lag {lag_ms:.0f} ms")
+            raise NotReachedError(
+                f"members stood still {pauses} times in {span_s:.0f} s, lag {lag_ms:.0f} ms"
+            )
         members = sum(report.members for report in after)
         single = range(len(self._rig.measured))
         cpu_s = sum(after[i].cpu_s - self._before[i].cpu_s for i in single) / len(single)
-        sent = [a.traffic.sent_bytes - b.traffic.sent_bytes for a, b in zip(after, self._before)]
-        messages = [a.traffic.sent_messages - b.traffic.sent_messages for a, b in zip(after, self._before)]
+        sent = [
+            a.traffic.sent_bytes - b.traffic.sent_bytes for a, b in zip(after, self._before, strict=False)
+        ]
+        messages = [
+            a.traffic.sent_messages - b.traffic.sent_messages
+            for a, b in zip(after, self._before, strict=False)
+        ]
         return WindowCost(
             cpu_us_s=cpu_s * 1e6 / span_s,
             bytes_s=sum(sent) / members / span_s,
@@ -186,13 +193,13 @@
 
 
 def quiet_window(rig: FleetRig, span_s: float) -> WindowCost:
-    """A window in which nobody stood still, out of WINDOWS_TRIED one after the other. Raises NotReached."""
+    """A window in which nobody stood still, out of WINDOWS_TRIED in a row. Raises NotReachedError."""
     for tried in range(1, WINDOWS_TRIED + 1):
         opened = Window(rig)
         time.sleep(span_s)
         try:
             return opened.close()
-        except NotReached:
+        except NotReachedError:
             if tried == WINDOWS_TRIED:
                 raise
     raise AssertionError("WINDOWS_TRIED is at least 1")
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -210,7 +210,7 @@
 
         def know() -> None:
             for front in played.fronts.values():
-                front.dispatcher.front_end.gate.own = 1.0 / len(played.fronts)
+                front.dispatcher.front_end.gate.own_share = 1.0 / len(played.fronts)
 
         played._at(10_000.1, know)
     lines = played.play()
@@ -233,7 +233,7 @@
     for what in days:
         by = {mode: [r for r in rows if r[:2] == (what, mode)] for mode in modes}
         for mode, some in by.items():
-            more = [a[2] - b[2] for a, b in zip(some, by[modes[0]])]
+            more = [a[2] - b[2] for a, b in zip(some, by[modes[0]], strict=False)]
             error = statistics.stdev(more) / len(more) ** 0.5 if len(more) > 1 else 0.0
             print(
                 f"{what:<16} {mode:<12} service in the 10 s after: {statistics.mean(r[2] for r in some):.4f}"
@@ -260,7 +260,7 @@
         fronts = clients.traffic.fronts
         clients.traffic.fronts = [[f for f in some for _ in range(weights[f])] for some in fronts]
     for number, front in played.fronts.items() if lent else ():
-        front.dispatcher.front_end.gate.own = weights[number] / sum(weights)
+        front.dispatcher.front_end.gate.own_share = weights[number] / sum(weights)
     return what, lent, served(played.play(), 8000, 20_000)
 
 
@@ -271,7 +271,7 @@
         rows = list(pool.map(uneven_one, jobs))
     for what in days:
         own, lent = ([r[2] for r in rows if r[:2] == (what, way)] for way in (False, True))
-        more = [b - a for a, b in zip(own, lent)]
+        more = [b - a for a, b in zip(own, lent, strict=False)]
         print(
             f"{what:<16} four fifths enter by 12 of 60: service {statistics.mean(own):.4f} with equal shares,"
             f" {statistics.mean(lent):.4f} with shares by entry ({statistics.mean(more):+.4f}, standard error"
@@ -320,7 +320,7 @@
 if __name__ == "__main__":
     what, *more = sys.argv[1:] or ["watch"]
     if what == "watch":
-        watch(*((int(size), int(seeds)) for size, seeds in zip(more[::2], more[1::2])))
+        watch(*((int(size), int(seeds)) for size, seeds in zip(more[::2], more[1::2], strict=False)))
     elif what == "parts":
         parts(int(more[0]) if more else 10, *more[1:])
     elif what == "uneven":
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -317,11 +317,11 @@
 def amplification(fronts: int, executors: int, seeds: int, processes: int | None) -> None:
     runs = [(w, r, s) for w in AMPLIFIED for r in (2, 6) for s in range(1, seeds + 1)]
     with ProcessPoolExecutor(processes) as pool:
-        rows = list(pool.map(amplified, *zip(*((*run, fronts, executors) for run in runs))))
+        rows = list(pool.map(amplified, *zip(*((*run, fronts, executors) for run in runs), strict=False)))
     print(f"{fronts} front ends, {executors} executors, {seeds} seeds; for each trigger first sent")
     for word in AMPLIFIED:
         for retries in (2, 6):
-            some = [row for run, row in zip(runs, rows) if run[:2] == (word, retries)]
+            some = [row for run, row in zip(runs, rows, strict=False) if run[:2] == (word, retries)]
             words = [f"{k} {sum(row[k] for row in some) / len(some):.3f}" for k in some[0]]
             print(f"{word:10} {retries} more tries: " + ", ".join(words), flush=True)
 
@@ -373,7 +373,7 @@
         Path(asked.series).write_text(json.dumps(found))
     with ProcessPoolExecutor(asked.processes) as pool:
         runs = [(a, d, s) for d in asked.days for a in asked.answers for s in range(1, asked.seeds + 1)]
-        rows = list(pool.map(play, *zip(*((*r, *size) for r in runs))))
+        rows = list(pool.map(play, *zip(*((*r, *size) for r in runs), strict=False)))
     print(
         f"{asked.fronts} front ends, {asked.executors} executors, {asked.seeds} seeds of {SECONDS} s; service"
     )
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -168,7 +168,8 @@
         others = [{"name": n, "address": "127.0.0.1", "port": first + j} for j, n in enumerate(names)]
         (folder / f"{name}.json").write_text(json.dumps({
             "front_end": {"name": name, "hall": "a", "number": i, "peers": 5, "seed": i},
-            "listen": {"port": 0}, "roster": {"port": 9}, "fleet": {"halls": ["a"]}, "tariffs": [request_class],
+            "listen": {"port": 0}, "roster": {"port": 9}, "fleet": {"halls": ["a"]},
+            "tariffs": [request_class],
             "functions": [{"name": "f-*", "memory_mb": 10, "lanes": 1}],
             "cold": {"multiple": 4, "span_ms": 1000, "start_share": 0.2, "warm_ms": 1000},
             "log": {"file": str(folder / f"{name}.log")},
@@ -179,7 +180,7 @@
 
     def start(i: int) -> subprocess.Popen:
         words = [sys.executable, "-m", "petrelway", "serve", str(folder / f"{names[i]}.json")]
-        return subprocess.Popen(words, cwd=ROOT, stderr=open(folder / f"{names[i]}.err", "ab"))  # noqa: SIM115
+        return subprocess.Popen(words, cwd=ROOT, stderr=open(folder / f"{names[i]}.err", "ab"))
 
     running = [start(i) for i in range(5)]
     killed, changes, adopted, base, died = 0, 0, {}, 0, []
--- a/petrelway/capacity/rates.py
+++ b/petrelway/capacity/rates.py
@@ -39,10 +39,13 @@
     while edges[-1] < functions:
         step = 1.0 if edges[-1] < EXACT_RANKS else math.floor(edges[-1] * BAND_GROWTH) - edges[-1] + 1.0
         edges.append(min(functions, edges[-1] + step))
-    sizes = [high - low for low, high in zip(edges, edges[1:])]
-    weights = [_weight(low + cut + 0.5, high + cut + 0.5, exponent) for low, high in zip(edges, edges[1:])]
+    sizes = [high - low for low, high in zip(edges, edges[1:], strict=False)]
+    weights = [
+        _weight(low + cut + 0.5, high + cut + 0.5, exponent)
+        for low, high in zip(edges, edges[1:], strict=False)
+    ]
     scale = calls_a_second / sum(weights)
-    return tuple(Band(size, weight * scale / size) for size, weight in zip(sizes, weights))
+    return tuple(Band(size, weight * scale / size) for size, weight in zip(sizes, weights, strict=False))
 
 
 def _weight(low: float, high: float, exponent: float) -> float:
--- a/petrelway/capacity/slopes.py
+++ b/petrelway/capacity/slopes.py
@@ -127,13 +127,17 @@
     """Base, slope and the slope's standard error, each residual weighed by one over its cost."""
     weights = [1.0 / max(abs(cost), 1e-12) ** 2 for _, cost in points]
     total = sum(weights)
-    mean_size = sum(w * size for w, (size, _) in zip(weights, points)) / total
-    mean_cost = sum(w * cost for w, (_, cost) in zip(weights, points)) / total
-    spread = sum(w * (size - mean_size) ** 2 for w, (size, _) in zip(weights, points))
-    shared = sum(w * (size - mean_size) * (cost - mean_cost) for w, (size, cost) in zip(weights, points))
+    mean_size = sum(w * size for w, (size, _) in zip(weights, points, strict=False)) / total
+    mean_cost = sum(w * cost for w, (_, cost) in zip(weights, points, strict=False)) / total
+    spread = sum(w * (size - mean_size) ** 2 for w, (size, _) in zip(weights, points, strict=False))
+    shared = sum(
+        w * (size - mean_size) * (cost - mean_cost) for w, (size, cost) in zip(weights, points, strict=False)
+    )
     slope = shared / spread if spread else 0.0
     base = mean_cost - slope * mean_size
-    residual = sum(w * (cost - base - slope * size) ** 2 for w, (size, cost) in zip(weights, points))
+    residual = sum(
+        w * (cost - base - slope * size) ** 2 for w, (size, cost) in zip(weights, points, strict=False)
+    )
     freedom = max(1, len(points) - 2)
     return base, slope, math.sqrt(residual / freedom / spread) if spread else 0.0
 
--- a/petrelway/capacity/tables.py
+++ b/petrelway/capacity/tables.py
@@ -16,7 +16,9 @@
     """The table in columns, for a terminal."""
     lines = (table.heads, *table.lines)
     widths = [max(len(line[i]) for line in lines) for i in range(len(table.heads))]
-    return "\n".join("  ".join(cell.ljust(w) for cell, w in zip(line, widths)).rstrip() for line in lines)
+    return "\n".join(
+        "  ".join(cell.ljust(w) for cell, w in zip(line, widths, strict=False)).rstrip() for line in lines
+    )
 
 
 def markdown(table: Table) -> str:
--- a/petrelway/commands/emulate.py
+++ b/petrelway/commands/emulate.py
@@ -223,7 +223,7 @@
     with ProcessPoolExecutor(processes or os.cpu_count(), mp_context=context) as pool:
         asked = pool.map(judged, trees, [policy] * len(trees))
         with click.progressbar(asked, length=tries, label="days", file=sys.stderr) as bar:
-            for tree, (rules, service) in zip(trees, bar):
+            for tree, (rules, service) in zip(trees, bar, strict=False):
                 finds.append(Find(tree, rules, service))
     worst = finds[0]
     for find in finds[1:]:
--- a/petrelway/common/structured_logs.py
+++ b/petrelway/common/structured_logs.py
@@ -119,7 +119,7 @@
 
     Raises OSError if the file can't be opened.
     """
-    to = open(path, "a", buffering=1, encoding="utf-8") if path else stream or sys.stderr  # noqa: SIM115
+    to = open(path, "a", buffering=1, encoding="utf-8") if path else stream or sys.stderr  # noqa: SIM115 - open for the process's life
     stream = BufferedLogStream(to)
     last = (
         structlog.processors.JSONRenderer()
--- a/petrelway/console/telemetry.py
+++ b/petrelway/console/telemetry.py
@@ -23,7 +23,7 @@
 class Story:
     """What happened to one request: times in ms since it was taken."""
 
-    __slots__ = ("mark", "request_class", "tenant", "function", "taken_ms", "events", "answer", "took_ms")
+    __slots__ = ("answer", "events", "function", "mark", "request_class", "taken_ms", "tenant", "took_ms")
 
     def __init__(self, mark: str, request_class: str, tenant: str, function: str, taken_ms: float) -> None:
         self.mark, self.request_class, self.tenant, self.function = mark, request_class, tenant, function
--- a/petrelway/emulator/clients.py
+++ b/petrelway/emulator/clients.py
@@ -22,8 +22,21 @@
 class Attempt:
     """One try of one request at one front end."""
 
-    __slots__ = ("clients", "id", "asked", "first_ms", "turn", "front", "at", "left_ms", "asked_ms", "timer",
-                 "over", "leave", "back")  # fmt: skip
+    __slots__ = (
+        "asked",
+        "asked_ms",
+        "at",
+        "back",
+        "clients",
+        "first_ms",
+        "front",
+        "id",
+        "leave",
+        "left_ms",
+        "over",
+        "timer",
+        "turn",
+    )  # fmt: skip
 
     def __init__(
         self, clients: Clients, id: str, asked: Asked, first_ms: float, turn: int, front: int
--- a/petrelway/emulator/compare.py
+++ b/petrelway/emulator/compare.py
@@ -75,7 +75,7 @@
             continue
         left = [table_a[point][s] for s in seeds]
         right = [table_b[point][s] for s in seeds]
-        moved = [y - x for x, y in zip(left, right)]
+        moved = [y - x for x, y in zip(left, right, strict=False)]
         low, high = band(moved, random_source)
         mean = float(np.mean(moved))
         p = by_noise(moved)
--- a/petrelway/emulator/executor_channel.py
+++ b/petrelway/emulator/executor_channel.py
@@ -23,7 +23,7 @@
 class Cable:
     """The messages of one way between two zones, in order; what meets a cut goes on when it ends."""
 
-    __slots__ = ("sim", "network", "one", "other", "last_ms", "held")
+    __slots__ = ("held", "last_ms", "network", "one", "other", "sim")
 
     def __init__(self, sim: World, network: Network, one: int, other: int) -> None:
         self.sim, self.network, self.one, self.other = sim, network, one, other
@@ -56,18 +56,18 @@
     """One connection, as the executor's life sees it."""
 
     __slots__ = (
-        "link",
-        "life",
-        "front",
-        "process",
-        "started_ms",
-        "there",
         "back",
         "broken",
-        "reading",
+        "front",
         "inbox",
+        "life",
+        "link",
+        "process",
+        "reading",
         "sent_ms",
         "sim",
+        "started_ms",
+        "there",
     )
 
     def __init__(self, link: EmulatedLink, life: Life, sim: World, network: Network, zone: int) -> None:
@@ -145,24 +145,24 @@
 
 
 class EmulatedLink(ChannelReports):
-    """One front end's link to one executor. Its arguments are those of gateway.executor_channel.ExecutorChannel; `connect` is the
+    """One front end's link to one executor. Its arguments are those of the gateway's; `connect` is the
     front end's place in the emulation, `port` the number of the executor's post."""
 
     __slots__ = (
+        "backoff",
+        "closed",
+        "dialling",
         "executor",
-        "port",
         "front_end",
-        "process",
-        "place",
-        "random_source",
         "listener",
-        "backoff",
+        "load_requests",
         "next_ms",
-        "wire",
         "out",
-        "load_requests",
-        "dialling",
-        "closed",
+        "place",
+        "port",
+        "process",
+        "random_source",
+        "wire",
     )
 
     def __init__(
--- a/petrelway/emulator/experiment.py
+++ b/petrelway/emulator/experiment.py
@@ -219,7 +219,7 @@
     """
     names = [AXIS + name for name in experiment.axes]
     done = {
-        (*zip(experiment.axes, (row[n] for n in names)), row["policy"], int(row["seed"]))
+        (*zip(experiment.axes, (row[n] for n in names), strict=False), row["policy"], int(row["seed"]))
         for row in results.rows()
     }
     todo = [point for point in experiment.points() if point.key() not in done]
--- a/petrelway/emulator/membership_simulation.py
+++ b/petrelway/emulator/membership_simulation.py
@@ -1,4 +1,5 @@
-"""Members in simulated time: the program's own `MembershipStateMachine` and `QuotaLeaseHolder` around a faulty network, without
+"""Members in simulated time: the program's own state machine and quota lease around a faulty
+network, without
 bytes."""
 
 from __future__ import annotations
--- a/petrelway/emulator/plots.py
+++ b/petrelway/emulator/plots.py
@@ -9,11 +9,11 @@
 import matplotlib
 
 matplotlib.use("Agg")
-import matplotlib.pyplot as plt  # noqa: E402
+import matplotlib.pyplot as plt
 
-from .compare import band  # noqa: E402
-from .experiment import AXIS  # noqa: E402
-from .results import Results  # noqa: E402
+from .compare import band
+from .experiment import AXIS
+from .results import Results
 
 WORDS = {
     "service": "service within the quoted time",
--- a/petrelway/emulator/policy_model.py
+++ b/petrelway/emulator/policy_model.py
@@ -34,7 +34,7 @@
 WARM_STEPS = 6
 
 
-class Violation(Exception):
+class InvariantViolationError(Exception):
     """What was broken."""
 
 
@@ -129,7 +129,7 @@
             i, to, token, word = self.turns.popleft()
             said += 1
             if said > SAID_BOUND:
-                raise Violation("they talk for ever")
+                raise InvariantViolationError("they talk for ever")
             if to in self.stopped:
                 self.late.append((i, to, token, word))
             elif to in self.ones:
@@ -148,10 +148,10 @@
         if version not in self.firsts:
             self.firsts[version] = self.at_ms, told
         elif self.firsts[version][1] != told:
-            raise Violation(f"version {version} is two documents")
+            raise InvariantViolationError(f"version {version} is two documents")
         for later, (at, _) in self.firsts.items():
             if later > version and self.at_ms - at > APART_MS:
-                raise Violation(
+                raise InvariantViolationError(
                     f"{self.names[i]} takes under version {version} {self.at_ms - at:.0f} ms after"
                     f" version {later} began"
                 )
@@ -159,7 +159,7 @@
     # -- a step
 
     def step(self, fault: tuple[Any, ...] | None) -> None:
-        """Raises Violation."""
+        """Raises InvariantViolationError."""
         self.steps += 1
         self.at_ms += STEP_MS
         if fault is not None:
@@ -219,17 +219,17 @@
         leaders = [p.raft for p in self.ones.values() if p.raft and p.raft.role is RaftRole.LEADER]
         terms = [k.current_term for k in leaders]
         if len(set(terms)) != len(terms):
-            raise Violation(f"two leaders in one term: {terms}")
+            raise InvariantViolationError(f"two leaders in one term: {terms}")
         ready = [k for k in leaders if k.is_ready()]
         if ready:
             ledger = max(ready, key=lambda k: k.current_term).state
             for id, version in self.adopted.items():
                 end = ledger.outcome(id)
                 if end is None or end.version != version:
-                    raise Violation(f"{id} was said to be version {version}, and is {end}")
+                    raise InvariantViolationError(f"{id} was said to be version {version}, and is {end}")
             for v in ledger.versions[1:]:
                 if v.base != v.number - 1:
-                    raise Violation(f"version {v.number} was made from version {v.base}")
+                    raise InvariantViolationError(f"version {v.number} was made from version {v.base}")
 
     def faults(self) -> Iterable[tuple[Any, ...]]:
         """All that could begin at the next step."""
@@ -300,7 +300,7 @@
             now_way = (*way, (small.steps - start.steps, *fault)) if fault else way
             try:
                 following.step(fault)
-            except Violation as violation:
+            except InvariantViolationError as violation:
                 return Explored(len(seen), runs, deepest, str(violation), [str(x) for x in now_way])
             after_ = pickle.dumps(following, -1)
             key = blake2b(after_, digest_size=12).digest()
--- a/petrelway/emulator/policy_traffic.py
+++ b/petrelway/emulator/policy_traffic.py
@@ -247,11 +247,13 @@
     return Traffic(
         *(
             later - earlier
-            for earlier, later in zip(msgspec.structs.astuple(before), msgspec.structs.astuple(after))
+            for earlier, later in zip(
+                msgspec.structs.astuple(before), msgspec.structs.astuple(after), strict=False
+            )
         )
     )
 
 
 def _mean(each: list[Traffic]) -> Traffic:
-    columns = zip(*(msgspec.structs.astuple(one) for one in each))
+    columns = zip(*(msgspec.structs.astuple(one) for one in each), strict=False)
     return Traffic(*(sum(column) / len(each) for column in columns))
--- a/petrelway/emulator/quota_model.py
+++ b/petrelway/emulator/quota_model.py
@@ -1,7 +1,8 @@
 """A small system for the explorer: three front ends that try each other's ports, die, start again, stand
 still.
 
-Each move uses the program's own code (`MembershipStateMachine.port_checked` and `.receive`, `QuotaLeaseHolder.current`, the module's
+Each move uses the program's own code (`MembershipStateMachine.port_checked` and `.receive`,
+`QuotaLeaseHolder.current`, the module's
 `Gate.share`); only what lies between the processes, and the moments, are the explorer's. Times are ms of each
 process's own clock, counted from now, cut off where they no longer matter: so the system has finitely many
 states."""
--- a/petrelway/fakes/executor_model.py
+++ b/petrelway/fakes/executor_model.py
@@ -294,7 +294,7 @@
                 usable = [c for c in self.replicas.get(function, ()) if not c.void]
                 if self.loading.get(function):
                     return
-                if self.eager and usable or not usable and not self.answers_miss:
+                if (self.eager and usable) or (not usable and not self.answers_miss):
                     self._want_load(function, queue[0].work.memory_mb, queue[0].work.lanes, False)
                 elif not self.replicas.get(function):  # the copy went while they waited
                     self._turn_away(function, MISS, 0)
--- a/petrelway/fakes/fault_schedule.py
+++ b/petrelway/fakes/fault_schedule.py
@@ -67,7 +67,7 @@
         for s in self.standing:
             if s.begin_ms <= now < s.end_ms:
                 there = one in s.some and other in s.others
-                if there or s.kind != "one way" and other in s.some and one in s.others:
+                if there or (s.kind != "one way" and other in s.some and one in s.others):
                     yield s
 
     def is_cut(self, now: float, one: int, other: int) -> bool:
--- a/petrelway/fakes/hollow_members.py
+++ b/petrelway/fakes/hollow_members.py
@@ -1,6 +1,7 @@
 """Hollow members: many front ends' membership in one process, on loopback, with nothing behind it.
 
-A hollow member is the real shell (`MembershipService`: real datagrams, the real `MembershipStateMachine`) without a host, a
+A hollow member is the real service (`MembershipService`: real datagrams, the real state machine) without a
+dispatcher, a
 client listener or requests. Others can't tell it from a front end. `hollow_process.py` runs a group of them
 as one process of a larger fleet; `benchmarks/capacity_members.py` measures with it.
 """
@@ -177,7 +178,7 @@
     ids: list[int], starts: list[Incarnation], sender: int, fleet: int, peers_digest: int
 ) -> list[Message]:
     """The messages by which member `sender` tells that everybody is alive; `ids` and `starts` by number."""
-    news = [MemberUpdate(id, start, MemberState.ALIVE) for id, start in zip(ids, starts)]
+    news = [MemberUpdate(id, start, MemberState.ALIVE) for id, start in zip(ids, starts, strict=False)]
     return [
         Message(
             MessageKind.ACK,
--- a/petrelway/fakes/in_memory_network.py
+++ b/petrelway/fakes/in_memory_network.py
@@ -22,7 +22,7 @@
 class Call:
     """One delayed call."""
 
-    __slots__ = ("time", "order", "what", "args", "kw", "world", "done")
+    __slots__ = ("args", "done", "kw", "order", "time", "what", "world")
 
     def __init__(self, world: World, time: float, order: int, what: Callable, args, kw) -> None:
         self.world, self.time, self.order, self.what, self.args, self.kw = (
@@ -213,7 +213,7 @@
     # -- writing
 
     def write(self, data: bytes) -> None:
-        if not data or not self.connected or self.disconnecting and not self.producer:
+        if not data or not self.connected or (self.disconnecting and not self.producer):
             return
         data = bytes(data)
         self.outgoing += len(data)
--- a/petrelway/fakes/package_store.py
+++ b/petrelway/fakes/package_store.py
@@ -68,7 +68,7 @@
 
     def met(self, digest: str) -> str:
         """The fault of this fetch; a name's own faults meet only the package that it points at."""
-        if not self.faults_left or self.broken and self.names[self.broken][0] != digest:
+        if not self.faults_left or (self.broken and self.names[self.broken][0] != digest):
             return ""
         self.faults_left -= 1
         return self.fault
--- a/petrelway/fakes/process_lifecycle.py
+++ b/petrelway/fakes/process_lifecycle.py
@@ -191,7 +191,7 @@
     def weigh(self, request_class: str) -> None:
         """Rule 4 as the executor feels it: pushed over its multiple for the span, it falls and stays down."""
         cold, m = self.day["cold"], self.machine
-        if m is None or m.capacity() >= 1.0 and not self.weighed:
+        if m is None or (m.capacity() >= 1.0 and not self.weighed):
             return
         now = self.clock.seconds() * 1e3
         self.weighed.append((now, self.mean_work[request_class]))
--- a/petrelway/fakes/records.py
+++ b/petrelway/fakes/records.py
@@ -10,7 +10,7 @@
 
     def __init__(self, path: str, clock, epoch_ms: float, buffer: int = 1 << 16) -> None:
         """`buffer` 0: each line at once, for a process that will be killed."""
-        self.file = open(path, "ab", buffering=buffer)  # noqa: SIM115
+        self.file = open(path, "ab", buffering=buffer)
         self.clock, self.epoch_ms = clock, epoch_ms
         self.encode = msgspec.json.Encoder().encode
 
--- a/petrelway/invariants/__init__.py
+++ b/petrelway/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""The checker of the five rules: reads only what clients, executors and registry recorded at their sockets."""
+"""The checker of the five rules: reads what clients, executors and registry recorded at their sockets."""
--- a/petrelway/invariants/checker.py
+++ b/petrelway/invariants/checker.py
@@ -18,7 +18,7 @@
 
 
 class RuleViolation(NamedTuple):
-    """One violation: rule 1 to 5, when, of which request or executor, in words, and the lines that show it."""
+    """One violation: rule 1 to 5, when, of which request or executor, in words, the lines that show it."""
 
     rule: int
     at_ms: float
@@ -373,7 +373,7 @@
     taken: dict[str, list[float]] = defaultdict(list)
     for key, ask in book.asks.items():
         end = book.ends.get(key)
-        if end is None or end["k"] != "unreachable" and not (end["k"] == "answer" and not end["taken"]):
+        if end is None or (end["k"] != "unreachable" and not (end["k"] == "answer" and not end["taken"])):
             taken[key[2]].append(ask["t"])
     for times in taken.values():
         times.sort()
--- a/petrelway/invariants/membership_checker.py
+++ b/petrelway/invariants/membership_checker.py
@@ -82,7 +82,7 @@
         """Whether either could have lost the other, at t or so long before."""
         a, b = (int(name.rpartition("-")[2]) for name in (one, other))
         return any(
-            s.begin - SLACK_MS <= t <= s.end + after and (a in p and b in q or a in q and b in p)
+            s.begin - SLACK_MS <= t <= s.end + after and ((a in p and b in q) or (a in q and b in p))
             for p, q, _, s in self.spells
         )
 
@@ -152,7 +152,7 @@
     changes: list[tuple[float, int, float, dict[str, Any]]] = []  # when, whose, the share from then on
     for i, life in enumerate(all_):
         held = [line for line in life.lines if line["k"] == "part"]
-        for line, after in zip(held, [*held[1:], None]):
+        for line, after in zip(held, [*held[1:], None], strict=False):
             # the first SLACK_MS of more may be seen too early
             begin = line["t"] + SLACK_MS * (line["share"] > 1.0 / size)
             if after is None or begin < after["t"]:
@@ -201,7 +201,9 @@
             if line["k"] == "part":
                 part = line
             elif line["k"] == "use" and line["t"] <= last_ms and line["share"] > own + ROUNDING:
-                over = part is None or part["left"] is not None and line["t"] > part["t"] + part["left"] + 1.0
+                over = part is None or (
+                    part["left"] is not None and line["t"] > part["t"] + part["left"] + 1.0
+                )
                 if over or line["share"] > part["share"] + ROUNDING:
                     what = f"used {line['share']:.3f} of the rations" + (" past its end" if over else "")
                     yield Violation("ends", line["t"], life.name, what, [part or {}, line])
@@ -216,7 +218,9 @@
                 continue
             t, name = line["t"], line["member"]
             there = [x for x in all_ if x.name == name and x.begin <= t < x.end]
-            if not there or there[0].begin > t - EXCUSED_MS and len([x for x in all_ if x.name == name]) > 1:
+            if not there or (
+                there[0].begin > t - EXCUSED_MS and len([x for x in all_ if x.name == name]) > 1
+            ):
                 continue
             if not there[0].lines or t < there[0].lines[0]["t"] + STARTING_MS:
                 continue  # a process that has been started refuses its port until it listens
--- a/petrelway/invariants/policy_checker.py
+++ b/petrelway/invariants/policy_checker.py
@@ -79,8 +79,8 @@
         if version and numbers and version < numbers[0]:
             continue  # older than what is kept
         if (version or digests) and digests.get(version) != digest:
-            yield Violation("nowhere", fe, f"took triggers under version {version} ({digest}), which was never"
-                                        " adopted")  # fmt: skip
+            yield Violation("nowhere", fe, f"took triggers under version {version} ({digest}), "
+                            "which was never adopted")  # fmt: skip
     by = {row[3]: row for row in rows if row[3]}
     for x in lines:
         if x["k"] == "change" and x["state"] == "adopted":
--- a/petrelway/scenarios/runner.py
+++ b/petrelway/scenarios/runner.py
@@ -144,7 +144,7 @@
 
     def __init__(self, name: str, folder: Path) -> None:
         self.name, self.path = name, folder / f"{name}.err"
-        self.file = open(self.path, "ab")  # noqa: SIM115
+        self.file = open(self.path, "ab")
         self.ended: defer.Deferred[str] = defer.Deferred()
         self.wanted_dead = self.told_to_leave = False
         self.cpu_s = self.rss_mb = 0.0
--- a/tests/compatibility/forms_fleet_words.py
+++ b/tests/compatibility/forms_fleet_words.py
@@ -132,7 +132,7 @@
     )
     service.lease_holder = QuotaLeaseHolder(0.0, len(ids) + 1)
     service.lease = service.lease_holder.current(service.members, 0.0)
-    for number, state in zip(ids, messages.MemberState):
+    for number, state in zip(ids, messages.MemberState, strict=False):
         service.members.others[number].state = state
     return [json.dumps(service.members_seen())]
 
--- a/tests/compatibility/test_compat_policy_words.py
+++ b/tests/compatibility/test_compat_policy_words.py
@@ -44,8 +44,10 @@
     instances = [struct for value in decoded() for struct in structs_within(value)]
     assert concrete_structs() <= {type(struct) for struct in instances}
     for struct in concrete_structs():
-        values = zip(*(msgspec.structs.astuple(one) for one in instances if type(one) is struct))
-        for field, told in zip(msgspec.structs.fields(struct), values):
+        values = zip(
+            *(msgspec.structs.astuple(one) for one in instances if type(one) is struct), strict=False
+        )
+        for field, told in zip(msgspec.structs.fields(struct), values, strict=False):
             assert field.required or any(value != field.default for value in told), (struct, field)
 
 
--- a/tests/test_call_scheduler.py
+++ b/tests/test_call_scheduler.py
@@ -373,10 +373,8 @@
                 elif action.kind is ActionKind.START_LOAD:
                     loads.append(action.replica_id)
             state = rig.scheduler.state
-            assert (
-                state.budget.used_mb() <= 900.0 + 1e-6
-                or not state.budget.loading
-                and not list(state.eviction.lowest_first())
+            assert state.budget.used_mb() <= 900.0 + 1e-6 or (
+                not state.budget.loading and not list(state.eviction.lowest_first())
             ), seed
             assert state.waiting_count == sum(map(len, state.waiting.values())) <= 5
             assert state.running_count == sum(len(c.calls) for c in state.replicas.values()) <= 4
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -105,7 +105,8 @@
         kind = random_source.choices(list(MessageKind), (8, 8, 4, 2, 0.1))[0]
         news = tuple(drawn_news(random_source) for _ in range(random_source.choice((0, 1, 16))))
         word = Message(
-            kind, digest(FLEET_NAME), ids[number], Incarnation(1, PLAN.token(number)), peers, random_source.randrange(4),
+            kind, digest(FLEET_NAME), ids[number], Incarnation(1, PLAN.token(number)), peers,
+            random_source.randrange(4),
             random_source.randrange(1 << 31), random_source.choice(ids), news,
         )  # fmt: skip
         data = messages.encode(word) if random_source.random() < 0.97 else random_source.randbytes(40)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -107,10 +107,10 @@
     for span, expected in (((0, 5), 500), ((5, 7), 800), ((7, 10), 300), ((10, 12), 0), ((12, 20), 2400)):
         count = sum(seconds[s] for s in range(*span))
         assert abs(count - expected) <= 4 * expected**0.5, (span, count)
-    assert all(x.at_ms <= y.at_ms for x, y in zip(some, some[1:]))
+    assert all(x.at_ms <= y.at_ms for x, y in zip(some, some[1:], strict=False))
     assert abs(sum(d.function == "a" for d in some) / len(some) - 0.75) < 0.03
     assert abs(sum(d.size_ms for d in some) / len(some) - 80.0) < 4.0
-    gaps = [y.at_ms - x.at_ms for x, y in zip(some, some[1:]) if 12_500 < x.at_ms]
+    gaps = [y.at_ms - x.at_ms for x, y in zip(some, some[1:], strict=False) if 12_500 < x.at_ms]
     mean = sum(gaps) / len(gaps)
     spread = sum((g - mean) ** 2 for g in gaps) / len(gaps) / mean**2
     assert 0.8 < spread < 1.2  # as Poisson has it
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -150,7 +150,10 @@
     file = configuration(settings=settings, peers=PEERS, peer_listen="10.0.0.4:7946")
     reactor = Sockets()
     reactor.advance(1_000_000.0)
-    connect = lambda *a, **k: None  # noqa: E731
+
+    def connect(*_, **__):
+        return None
+
     made = NodeService(reactor, read_configuration(file), lambda: file, Log(), connect=connect, peers=wanted)
     return reactor, made
 
--- a/tests/test_one_clock.py
+++ b/tests/test_one_clock.py
@@ -1,4 +1,5 @@
-"""No code but `petrelway/common/process_clock.py` reads the wall clock for a span, or takes a reactor without its clock."""
+"""No code but `petrelway/common/process_clock.py` reads the wall clock for a span,
+or takes a reactor without its clock."""
 
 import ast
 
--- a/tests/test_policy_process.py
+++ b/tests/test_policy_process.py
@@ -55,7 +55,7 @@
         self.terms = json.loads(self.seen(4)["document"])
 
     def _run(self, *words):
-        err = open(self.folder / "parts.err", "ab")  # noqa: SIM115
+        err = open(self.folder / "parts.err", "ab")
         return subprocess.Popen([*PETRELWAY, *words], cwd=ROOT, stdout=err, stderr=err)
 
     def _start(self, number):
--- a/tests/test_prefetch.py
+++ b/tests/test_prefetch.py
@@ -11,7 +11,7 @@
         host = Host(3, misses=True)
         t, u = host.take(), host.take()
         sends = host.pull()
-        for x, d in zip((t, u), sends):
+        for x, d in zip((t, u), sends, strict=False):
             host.end(x, Outcome.MISS, executor=d.executor)
         found = host.pull(5.0)
         assert verbs(found) == ["PREFETCH"]  # one for both
--- a/tests/test_quota_lease.py
+++ b/tests/test_quota_lease.py
@@ -40,7 +40,7 @@
         m.receive(now - 10_000.0, id, message(sender=id, incarnation=Incarnation(1, id)))
     m.last_heard_ms = m.last_turn_ms = now
     m.last_pause_ms = -math.inf
-    for id, old in zip((B, C), proofs):
+    for id, old in zip((B, C), proofs, strict=False):
         m.port_checked(now, id, now - old, True)
     held = QuotaLeaseHolder(now - age, 3).current(m, now)
     assert held.part.share == pytest.approx(share) and why in held.reason
--- a/tests/test_ramp_process.py
+++ b/tests/test_ramp_process.py
@@ -73,7 +73,7 @@
     asking = [Asking(i + 1, address) for i, address in enumerate(addresses)]
     try:
         for address in addresses:
-            until(lambda: serving(address))  # noqa: B023
+            until(lambda address=address: serving(address))
         for thread in asking:
             thread.start()
         until(lambda: all(thread.answers >= 5 for thread in asking))  # each has a history
@@ -86,7 +86,7 @@
             processes[i].communicate()
             processes[i] = start(paths[i])
         for address in addresses:
-            until(lambda: serving(address))  # noqa: B023
+            until(lambda address=address: serving(address))
         time.sleep(SECONDS / 2)
         assert all(thread.answers for thread in asking)
     finally:
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -202,7 +202,7 @@
                 order = model(functions[looked], ring.members, window)
                 assert ranked[looked].first(count) == order[:count]
                 assert list(ranked[looked]) == order
-        for salt, one in zip(functions, ranked):
+        for salt, one in zip(functions, ranked, strict=False):
             assert list(one) == model(salt, ring.members, window)
             assert list(RankedExecutors(salt, ring_of(ring.members))) == list(one)
 
@@ -267,8 +267,8 @@
     for count in range(size - 4, size + 5):
         ring = ring_of(members[:count])
         homes.append([RankedExecutors(salt, ring).first(1)[0] for salt in functions])
-    for before, after in zip(homes, homes[1:]):
-        moved = sum(a is not b for a, b in zip(before, after))
+    for before, after in zip(homes, homes[1:], strict=False):
+        moved = sum(a is not b for a, b in zip(before, after, strict=False))
         # the new one takes its share; of the windows that halve at this size, half lose their first
         assert 0 < moved <= 4 * 2000 / size, moved
 
@@ -287,7 +287,7 @@
     assert 0.5 * len(functions) * WINDOW / size < had < 2 * len(functions) * WINDOW / size
     ring.remove(victim)
     moved = []
-    for salt, one, old in zip(functions, ranked, before):
+    for salt, one, old in zip(functions, ranked, before, strict=False):
         new = one.first(WINDOW // 2)
         if old[0] is not new[0]:
             moved.append((old[0], new[0]))
@@ -364,7 +364,7 @@
     assert sum(touched) > 20 and sum(same_width) > 380
     for change in (ring.remove, ring.add):
         change(victim)
-        for one, has, same in zip(ranked, touched, same_width):
+        for one, has, same in zip(ranked, touched, same_width, strict=False):
             with counted_ranks() as ranks:
                 one.first(1)
             if same:  # the phase; and where it was or comes, its own rank and those on the way of a bisection
--- a/tests/test_ranking_front_end.py
+++ b/tests/test_ranking_front_end.py
@@ -171,7 +171,7 @@
                 registry.started.update(dict.fromkeys(numbers, hosts[0].now))
             for heard in late:
                 heard |= numbers
-        for one, host, heard in zip(traffic, hosts, late):
+        for one, host, heard in zip(traffic, hosts, late, strict=False):
             if heard and random_source.random() < 0.5:
                 registry.tell(host, sorted(heard) if random_source.random() < 0.7 else None)
                 heard.clear()
@@ -180,7 +180,7 @@
         if step % 20 == 0:
             for host in hosts:
                 check_load_requests(host)
-    for host, one in zip(hosts, traffic):
+    for host, one in zip(hosts, traffic, strict=False):
         registry.tell(host)
         check_load_requests(host)
         one.finish()
@@ -248,7 +248,7 @@
     registry.set(random_source.sample(range(count), differing), Stage.GONE)
     other = front_end(registry, seed=2)
     homes = [first_homes(host, name_functions(host, functions)) for host in (one, other)]
-    moved = sum(a != b for a, b in zip(*homes))
+    moved = sum(a != b for a, b in zip(*homes, strict=False))
     share = differing / count
     # each that is missing takes its own functions along, and one more enters each window that lost one
     assert 0 < moved <= 4 * share * functions, (moved, share * functions)
@@ -311,8 +311,8 @@
         registry.tell(host)
     after = first_homes(hosts[0], functions[0])
     assert after == first_homes(hosts[1], functions[1]) and not lost & set(after)
-    orphans = [new for old, new in zip(before, after) if old in lost]
-    strangers = sum(old not in lost and old != new for old, new in zip(before, after))
+    orphans = [new for old, new in zip(before, after, strict=False) if old in lost]
+    strangers = sum(old not in lost and old != new for old, new in zip(before, after, strict=False))
     assert orphans and strangers <= 2 * len(orphans)
     assert max(Counter(orphans).values()) <= 0.1 * len(orphans)  # no neighbour inherits the cell
     for attempt in [attempt for attempt in traffic.out if attempt[2] in lost]:
@@ -349,7 +349,7 @@
             silent = cut  # they take and do not answer
         if step == 60:
             registry.set(cut, Stage.GONE)
-            for host, one in zip(hosts, traffic):
+            for host, one in zip(hosts, traffic, strict=False):
                 registry.tell(host)
                 one.out = [
                     attempt for attempt in one.out if attempt[2] not in cut or one.end(attempt, Outcome.RESET)
@@ -357,11 +357,11 @@
     assert sent_there[29] and not any(executor in cut for one in traffic for *_, executor in one.out)
     after = first_homes(hosts[0], functions[0])
     assert after == first_homes(hosts[1], functions[1]) and not cut & set(after)
-    rest = [(old, new) for old, new in zip(before, after) if old not in cut]
+    rest = [(old, new) for old, new in zip(before, after, strict=False) if old not in cut]
     assert sum(old == new for old, new in rest) >= 0.5 * len(rest)  # two thirds of each window stayed
     load = Counter(after)
     assert max(load.values()) <= 6 * len(after) / (len(registry.ready()))
-    for host, one in zip(hosts, traffic):
+    for host, one in zip(hosts, traffic, strict=False):
         check_orders_of(host, 20)
         one.finish()
         assert [one.finals[request] for request in one.taken] == [1] * len(one.taken)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -133,7 +133,7 @@
     heard, frames = play(r, told, 100)
     sends = [frame for frame in frames if frame[0] == 10]
     assert [fields["class"] for _, _, fields, _ in sends] == [each["name"] for each in classes]
-    for each, (_, _, fields, body) in zip(classes, sends):
+    for each, (_, _, fields, body) in zip(classes, sends, strict=False):
         assert fields["key"] == FUNCTION and body == b"hello"
         assert 0 < int(fields["wait"]) <= each["deadlineS"] * 1e3
         assert fields.get("once") == (ONCE if each["effect"] == "dedup" else None)
--- a/tests/test_worker_process.py
+++ b/tests/test_worker_process.py
@@ -279,7 +279,10 @@
     until(lambda: rig.shelf.counts["fetches"] == 2, "no fetch has come")  # the file stands before it is sent
     rig.process.kill()
     rig.process.wait()
-    gone = lambda p: not p.is_running() or p.status() == psutil.STATUS_ZOMBIE  # noqa: E731
+
+    def gone(p):
+        return not p.is_running() or p.status() == psutil.STATUS_ZOMBIE
+
     until(lambda: all(gone(p) for p in replicas), "a child is left")
     rig.shelf.fetch_ms = 0.0
     rig.start()  # the next process removes the partial file and keeps the complete one
