--- a/petrelway/policy/raft_storage.py
+++ b/petrelway/policy/raft_storage.py
@@ -1,4 +1,6 @@
-"""A voter's file: SQLite, synced before anything that depends on it is sent. Format: docs/policy-file.md."""
+"""A voter's file, where its vote and its log are stored: SQLite, synced before anything that depends on it is
+sent. Format: docs/policy-file.md.
+"""
 
 from __future__ import annotations
 
--- a/petrelway/routing/inputs.py
+++ b/petrelway/routing/inputs.py
@@ -1,6 +1,7 @@
-"""The inputs of the decisions: what a host says has happened.
+"""The inputs of the decisions: what the dispatcher says has happened; a request's deadline is set here.
 
-Mixed into `router.FrontEnd`. The methods only update what is known, and put the requests that are to be
+Mixed into `router.FrontEnd`. `request_taken` sets the times that end what a request may wait for. The methods
+only update what is known, and put the requests that are to be
 looked at in the ready queue.
 """
 
--- a/petrelway/routing/replay_safety.py
+++ b/petrelway/routing/replay_safety.py
@@ -1,6 +1,6 @@
-"""Rule 2: which requests may be sent again, and which may be rejected, after an attempt that may have run.
+"""Where a retry or hedge is allowed: which requests may be sent again, or rejected, after an attempt ran.
 
-Plain functions, called by `rules.Gate`.
+Rule 2: what may have run goes out again only where that does no harm. Plain functions for `rules.Gate`.
 """
 
 from __future__ import annotations
