--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -164,10 +164,10 @@
 def test_executors_are_dialled_as_long_as_it_is_told(told):
     net = Timed()
     r = rig(told)
-    r.node.connect = r.node.follower.connect = net.connect
-    for link in r.node.host.channels.values():
+    r.node.connect = r.node.discovery.connect = net.connect
+    for link in r.node.dispatcher.channels.values():
         link.connect = net.connect
-        link.cut("a test")
+        link.drop_all("a test")
     r.step(400)
     assert {ms for port, ms in net.times if port < 7050} == {told["limits"]["connectTimeoutS"] * 1e3}
 
