--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -5,7 +5,8 @@
 from doubles import Log, Pipe, clock, lost
 
 from petrelway.fakes.platform_peers import CALL, request
-from petrelway.gateway.dispatcher import FAILED, REJECTED, SUCCEEDED, Answer, PendingAnswer
+from petrelway.gateway.answers import Answer, Completion
+from petrelway.gateway.pending_requests import PendingAnswer
 from petrelway.node import client_connection, client_listener, connection_state
 from petrelway.node.client_listener import ClientListener
 from petrelway.node.connection_state import CloseReason
@@ -35,7 +36,7 @@
     def submit(self, opaque_request, request_class, tenant, remaining, work, memory, lanes, load):
         def give_up():  # the host answers in its next turn
             self.given_up.append(opaque_request.request_id)
-            self.clock.callLater(0, answer.callback, Answer(FAILED))
+            self.clock.callLater(0, answer.callback, Answer(Completion.FAILED))
 
         answer = PendingAnswer(lambda _: self.cancelled.append(opaque_request.request_id), give_up)
         self.submitted.append((opaque_request, answer))
@@ -67,7 +68,11 @@
     rig = Rig()
     client, pipe = rig.client()
     client.dataReceived(b"".join(request(i, call=call(i)) for i in (1, 2, 3)))
-    answers = ((1, Answer(REJECTED, 120.0)), (0, Answer(SUCCEEDED, body=b"ok")), (2, Answer(FAILED)))
+    answers = (
+        (1, Answer(Completion.REJECTED, 120.0)),
+        (0, Answer(Completion.SUCCEEDED, body=b"ok")),
+        (2, Answer(Completion.FAILED)),
+    )
     for i, answer in answers:
         rig.submitted[i][1].callback(answer)
     rejected, succeeded, broken = replies(pipe)
@@ -196,7 +201,7 @@
     assert reply["id"] is None and reply["error"]["code"] == client_answers.ErrorCode.INVALID_PARAMS
     client.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}\n' % call(9).encode())
     assert not pipe.closed and not rig.cancelled and pipe.take() == b""
-    rig.submitted[0][1].callback(Answer(SUCCEEDED, body=b"ok"))
+    rig.submitted[0][1].callback(Answer(Completion.SUCCEEDED, body=b"ok"))
     assert replies(pipe)[0]["id"] == 1
 
 
@@ -216,7 +221,7 @@
     third.dataReceived(b'{"jsonrpc":"2.0","method":"interrupt","params":{"call":"%s"}}\n' % CALL.encode())
     assert not rig.cancelled  # neither theirs nor its own under the same number
     bad.connectionLost(lost())
-    rig.submitted[0][1].callback(Answer(SUCCEEDED, body=b"ok"))
+    rig.submitted[0][1].callback(Answer(Completion.SUCCEEDED, body=b"ok"))
     assert replies(pipe)[0]["result"] == {"bytes": "b2s="}
 
 
@@ -226,7 +231,7 @@
     for i in range(1, 3001):
         client.dataReceived(request(i, call=call(i)))
         rig.turns()
-        rig.submitted.pop()[1].callback(Answer(SUCCEEDED))
+        rig.submitted.pop()[1].callback(Answer(Completion.SUCCEEDED))
     assert not client.state.used_numbers.above and not pipe.closed
     client.dataReceived(request(17, call=call(9999)))
     assert pipe.closed
@@ -262,7 +267,7 @@
     for client, number in ((idle, 1), (at_work, 2), (stuck, 3)):
         client[0].dataReceived(request(1, call=call(number)))
     stuck[0].dataReceived(b"{")
-    rig.submitted[0][1].callback(Answer(SUCCEEDED))
+    rig.submitted[0][1].callback(Answer(Completion.SUCCEEDED))
     rig.step(connection_state.SILENCE_TIMEOUT_MS + client_listener.SWEEP_INTERVAL_MS + 50)
     assert [c[1].closed for c in (silent, partial, stuck, idle, at_work)] == [True, True, False, False, False]
     assert (
@@ -273,7 +278,7 @@
     )
     rig.step(connection_state.IDLE_TIMEOUT_MS)
     assert idle[1].closed and not at_work[1].closed and not stuck[1].closed  # not with a request open there
-    rig.submitted[2][1].callback(Answer(SUCCEEDED))
+    rig.submitted[2][1].callback(Answer(Completion.SUCCEEDED))
     rig.step(connection_state.SILENCE_TIMEOUT_MS + client_listener.SWEEP_INTERVAL_MS + 50)
     assert stuck[1].closed and rig.listener.counts[CloseReason.PARTIAL_LINE] == 2
 
@@ -301,7 +306,7 @@
     spoke = [rig.client() for _ in range(3)]
     for number, (client, _) in enumerate(spoke, 1):
         client.dataReceived(request(1, call=call(number)))
-        rig.submitted[-1][1].callback(Answer(SUCCEEDED))
+        rig.submitted[-1][1].callback(Answer(Completion.SUCCEEDED))
     rig.step(100)
     silent = [rig.client() for _ in range(2)]
     rig.step(200)
--- a/tests/test_executor_pool.py
+++ b/tests/test_executor_pool.py
@@ -129,11 +129,11 @@
     assert rig.ended() == [((1, 0), Outcome.UNREACHABLE)]
     rig.send(2)  # between two tries: said at once, not held
     assert rig.ended() == [((2, 0), Outcome.UNREACHABLE)]
-    assert rig.log.events() == ["link down"]
+    assert rig.log.events() == ["executor channel down"]
     rig.step(300)
     connection, pipe = rig.up()
     rig.step(2 * connection_set.SWEEP_INTERVAL_MS)
-    assert rig.log.events() == ["link down", "link up"]
+    assert rig.log.events() == ["executor channel down", "executor channel up"]
     rig.send(3)
     connection.connectionLost(lost())
     assert rig.ended() == [((3, 0), Outcome.RESET)]
@@ -274,7 +274,7 @@
 def test_load_requests_have_ids_of_their_own():
     rig = Rig()
     connection, pipe = rig.up()
-    assert rig.pool.order(7, FUNCTION, 2, 0.0, 0) is None
+    assert rig.pool.request_load(7, FUNCTION, 2, 0.0, 0) is None
     ((code, own, fields, _),) = commands(pipe.take())
     assert (code, fields) == (14, {"key": FUNCTION, "count": "2"})
     rig.send(1, id=own)  # a request whose id meets the order's open id goes elsewhere
@@ -294,13 +294,13 @@
     ):
         rig = Rig()
         connection, pipe = rig.up()
-        rig.pool.order(7, FUNCTION, 1, 0.0, 0)
+        rig.pool.request_load(7, FUNCTION, 1, 0.0, 0)
         own = commands(pipe.take())[0][1]
         end(rig, connection, own)
         connection.dataReceived(answer(100, own, b"count=2"))
         assert rig.listener.load_requests == expected
     rig = Rig()
-    assert rig.pool.order(8, FUNCTION, 1, 0.0, 0) is Outcome.UNREACHABLE
+    assert rig.pool.request_load(8, FUNCTION, 1, 0.0, 0) is Outcome.UNREACHABLE
 
 
 def test_abandoned_ids_are_bounded():
@@ -309,7 +309,7 @@
     connection, pipe = rig.up()
     for serial in range(executor_connection.ABANDONED_IDS_BOUND):
         assert not pipe.closed
-        rig.pool.order(serial, FUNCTION, 1, 0.0, 0)
+        rig.pool.request_load(serial, FUNCTION, 1, 0.0, 0)
         rig.pool.forget_load_request(serial)
     assert pipe.closed and rig.budget.used == 0
 
@@ -362,7 +362,7 @@
             rig.step(connection_set.SWEEP_INTERVAL_MS - 10)
             connection.connectionLost(lost())
         rig.step(20)
-    assert 3 < dials < 25 and rig.log.events() == ["link down"], dials
+    assert 3 < dials < 25 and rig.log.events() == ["executor channel down"], dials
 
 
 def test_idle_connections_are_closed_but_one_stays_ready():
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from petrelway.common.deployment_settings import DeploymentSettingsError, read_terms
+from petrelway.common.deployment_settings import DeploymentSettingsError, read_deployment_settings
 from petrelway.fakes.platform_peers import SETTINGS, configuration
 from petrelway.platform.configuration import read_configuration
 from petrelway.platform.errors import ProtocolError
@@ -117,10 +117,10 @@
     ]
     for settings, where in table:
         with pytest.raises(DeploymentSettingsError, match=where):
-            read_terms(settings)
-    assert read_terms(SETTINGS).request_classes
+            read_deployment_settings(settings)
+    assert read_deployment_settings(SETTINGS).request_classes
     # what the wire page says may be missing, and keys that it does not name
-    assert read_terms(without(SETTINGS, "orgs")).tenants == []
-    assert read_terms(changed(later={"x": 1})) == read_terms(SETTINGS)
-    assert read_terms(changed(orgs=None)).tenants == []  # null stands for an absent value
-    assert read_terms(changed("limits", probes=None)).capabilities.probes is False
+    assert read_deployment_settings(without(SETTINGS, "orgs")).tenants == []
+    assert read_deployment_settings(changed(later={"x": 1})) == read_deployment_settings(SETTINGS)
+    assert read_deployment_settings(changed(orgs=None)).tenants == []  # null stands for an absent value
+    assert read_deployment_settings(changed("limits", probes=None)).capabilities.probes is False
