--- a/petrelway/console/telemetry.py
+++ b/petrelway/console/telemetry.py
@@ -135,7 +135,7 @@
         self.open: dict[int, Story] = {}  # by the host's serial
         self.changes: deque[tuple[float, str, str]] = deque((), CHANGES)
 
-    def terms_told(self, latency_objective_ms: dict[str, float]) -> None:
+    def configuration_changed(self, latency_objective_ms: dict[str, float]) -> None:
         self.latency_objective_ms = latency_objective_ms
         for request_class in latency_objective_ms:
             self.latency.setdefault(request_class, deque((), LATENCY_SLOTS))
--- a/petrelway/daemon/service.py
+++ b/petrelway/daemon/service.py
@@ -159,7 +159,7 @@
             "lag ms": round(p.lag_ms, 2),
             "gives up": self.shedder.step.name.lower().replace("_", " "),
             "step": int(self.shedder.step),
-            "terms": "" if self.policy is None else self.policy.held(),
+            "terms": "" if self.policy is None else self.policy.summary(),
             "pressures": {k: round(v, 3) for k, v in self.shedder.pressures._asdict().items()},
             "nacked untaken": dict(sorted(self.shedder.rejected.items())),
             "background": {
--- a/petrelway/policy/policy_member.py
+++ b/petrelway/policy/policy_member.py
@@ -238,7 +238,7 @@
         self.actions.append(SendMessage(self._whom_to_ask(), HistoryQuery(queried_ms=now)))
 
     def members_gone(self, now: float, began_ms: dict[str, float]) -> None:
-        """MembershipStateMachine whose ports refused connection attempts that began then."""
+        """Take in the members whose ports refused connection attempts that began then."""
         voters = self.holder.voters or self.initial_voters
         latest = sorted((began_ms[name] for name in voters if name in began_ms), reverse=True)
         if 2 * len(latest) > len(voters):
